--- a/scripts/localcluster.py
+++ b/scripts/localcluster.py
@@ -67,11 +67,12 @@
 
 
 class Daemon:
-    """One lacewingd: its addresses and its process."""
+    """One lacewingd: its addresses, the build that it is started from and its process."""
 
-    def __init__(self, name, zone, ports):
+    def __init__(self, name, zone, ports, build):
         self.name = name
         self.zone = zone
+        self.build = build
         self.caller, self.peer, self.operator = (f'127.0.0.1:{port}' for port in ports)
         self.process = None
 
@@ -139,7 +140,8 @@
         ports = free_ports(3 * self.vm_count)
         for number in range(self.vm_count):
             zone = self.zones[number % len(self.zones)]
-            self.daemons.append(Daemon(f'vm-{number + 1}', zone, ports[3 * number:3 * number + 3]))
+            self.daemons.append(Daemon(f'vm-{number + 1}', zone, ports[3 * number:3 * number + 3],
+                                       self.build))
         self.publish_vms()
         for daemon in self.daemons:
             self.start_daemon(daemon)
@@ -163,7 +165,7 @@
             'LACEWING_PEER_TOKEN': PEER_TOKEN,
             **self.environment,
         }
-        daemon.process = self.spawn(daemon.name, [str(self.build / 'lacewingd')], environment)
+        daemon.process = self.spawn(daemon.name, [str(daemon.build / 'lacewingd')], environment)
 
     def wait_ready(self, daemon):
         def ready():
