--- a/lacewing/endpointchoice.cpp
+++ b/lacewing/endpointchoice.cpp
@@ -1,4 +1,4 @@
-// One pass over the endpoints of the service; a dozen to some hundred.
+// A single pass over the endpoints of the service: a dozen to some hundred.
 
 #include "endpointchoice.h"
 
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// The finaliser of MurmurHash3: spreads the draw over the endpoints.
-std::uint64_t spread(std::uint64_t value)
+/// Two steps of the MurmurHash3 finalizer: derives an independent tie-break for each endpoint.
+std::uint64_t finalizeHash(std::uint64_t value)
 {
     value ^= value >> 33U;
     value *= 0xff51afd7ed558ccdULL;
@@ -49,29 +49,30 @@
 double loadOf(const FleetEndpoint &endpoint, const ZoneName &zone)
 {
     const double backlog = std::chrono::duration<double>(promptBacklog(endpoint.prompts)).count()
-        / std::chrono::duration<double>(backlogOfFullEndpoint).count();
+        / std::chrono::duration<double>(fullEndpointBacklog).count();
     const double slots = std::max(1, endpoint.entry.slots);
-    const double handicap = endpoint.entry.zone == zone ? 0 : remoteHandicap;
-    return estimateRunning(endpoint) / slots + handicap + backlog;
+    const double penalty = endpoint.entry.zone == zone ? 0 : otherZonePenalty;
+    return estimateRunning(endpoint) / slots + penalty + backlog;
 }
 
-/// Requests that would end with the endpoint. Those that may crash it themselves are kept apart, so that a crash shows
-/// which of them it was.
+/// Cost of a crash of the endpoint: the requests that would fail with it. Requests that may crash an endpoint weigh far
+/// more, so that they run on different endpoints and a crash shows which of them caused it.
 double requestsAtRisk(const FleetEndpoint &endpoint)
 {
-    constexpr double moreThanRun = 1e6;
-    return estimateRunning(endpoint) + moreThanRun * endpoint.ownSuspects;
+    constexpr double crashSuspectWeight = 1e6;
+    return estimateRunning(endpoint) + crashSuspectWeight * endpoint.ownSuspects;
 }
 
-/// Looks whether endpoints that have named a limit take one more request of this VM.
-class Room
+/// Checks whether an endpoint that has stated a request limit accepts another request from this VM.
+class LimitCheck
 {
 public:
-    Room(const Fleet &endpoints, const EndpointNeed &wanted, TimePoint time) : fleet(endpoints), need(wanted), now(time)
+    LimitCheck(const Fleet &endpoints, const EndpointNeed &requirements, TimePoint time)
+        : fleet(endpoints), need(requirements), now(time)
     {
     }
 
-    bool at(const FleetEndpoint &endpoint)
+    bool admits(const FleetEndpoint &endpoint)
     {
         if (!isLimited(endpoint.limit)) {
             return true;
@@ -83,16 +84,16 @@
         if (allowed && hasRoom(endpoint.limit, this->now)) {
             return true;
         }
-        this->limited = true;
+        this->anyAtLimit = true;
         if (allowed) {
             const Duration until = timeUntilRoom(endpoint.limit, this->now);
-            this->soonest = this->soonest.count() == 0 ? until : std::min(this->soonest, until);
+            this->soonestCapacity = this->soonestCapacity.count() == 0 ? until : std::min(this->soonestCapacity, until);
         }
         return false;
     }
 
-    bool limited = false; ///< an endpoint was left out
-    Duration soonest {0}; ///< until one of those takes a request; 0: not known
+    bool anyAtLimit = false; ///< at least one endpoint was rejected
+    Duration soonestCapacity {0}; ///< until a rejected endpoint accepts a request; 0: unknown
 
 private:
     const Fleet &fleet;
@@ -106,9 +107,9 @@
 EndpointChoice chooseEndpoint(const Fleet &fleet, const EndpointNeed &need, TimePoint now)
 {
     Candidate best;
-    bool any = false;
-    bool full = false;
-    Room room(fleet, need, now);
+    bool anyEndpoint = false;
+    bool anyFull = false;
+    LimitCheck limitCheck(fleet, need, now);
     std::uint64_t draw = need.draw;
     for (const EndpointName &id : endpointsOf(fleet, need.service)) {
         const FleetEndpoint &endpoint = fleet.endpoints.at(id);
@@ -116,10 +117,10 @@
         if (endpoint.entry.leaving || avoided) {
             continue;
         }
-        any = true;
+        anyEndpoint = true;
         const bool shunned = isShunned(endpoint.failures, now);
         if (shunned && !need.weights.empty()) {
-            continue; // another endpoint loads the weights in less time than the caller waits
+            continue; // another endpoint loads the weights in less time than the caller is ready to wait
         }
         Candidate candidate;
         if (!need.weights.empty()) {
@@ -130,13 +131,13 @@
             candidate.version = held->second;
         }
         if (!need.weights.empty() && estimateRunning(endpoint) >= endpoint.entry.slots) {
-            full = true;
+            anyFull = true;
             continue;
         }
-        if (!room.at(endpoint)) {
+        if (!limitCheck.admits(endpoint)) {
             continue;
         }
-        draw = spread(draw + 1);
+        draw = finalizeHash(draw + 1);
         candidate.endpoint = &endpoint;
         candidate.reserved = id == need.reserved;
         candidate.trusted = isTrusted(endpoint.trust, now) && !shunned;
@@ -149,11 +150,11 @@
     EndpointChoice choice;
     if (best.endpoint != nullptr) {
         choice = {ChoiceResult::Chosen, best.endpoint->entry.id, best.version};
-    } else if (any && room.limited) {
+    } else if (anyEndpoint && limitCheck.anyAtLimit) {
         choice.result = need.weights.empty() ? ChoiceResult::Limited : ChoiceResult::AllFull;
-        choice.untilRoom = room.soonest;
-    } else if (any) {
-        choice.result = full ? ChoiceResult::AllFull : ChoiceResult::NotHeld;
+        choice.untilRoom = limitCheck.soonestCapacity;
+    } else if (anyEndpoint) {
+        choice.result = anyFull ? ChoiceResult::AllFull : ChoiceResult::NotHeld;
     }
     return choice;
 }
--- a/lacewing/endpointchoice.h
+++ b/lacewing/endpointchoice.h
@@ -1,10 +1,11 @@
-// Which endpoint a request goes to.
+// Selects the endpoint for a request.
 //
-// Load pattern: many VMs choose at once, each with counts of the others' work that are some hundred
-// milliseconds old. Of the endpoints that hold the wanted weights the least busy one is taken; an endpoint of
-// another zone counts as busier by remoteHandicap, since its bytes cross zones. Equal ones are told apart by a
-// draw, so that VMs with the same view do not all take the same one. An engine whose slots are all in use gets
-// nothing: its queue holds a request for seconds, while a further copy of the adapter is loaded in a quarter of one.
+// Load pattern: many VMs select endpoints concurrently, each with counts of the other VMs' requests that are some
+// hundred milliseconds old. Among the endpoints that hold the requested weights, the least loaded one is selected. An
+// endpoint of another zone gets otherZonePenalty added to its load, because its bytes cross zones. Ties are broken at
+// random, so that VMs with the same view do not all select the same endpoint. An engine whose slots are all in use is
+// not selected: a request would wait in its queue for seconds, while another endpoint loads the adapter in a quarter of
+// a second.
 
 #pragma once
 
@@ -16,44 +17,45 @@
 
 namespace lacewing {
 
-/// Share of its slots by which an endpoint of another zone counts as busier. A stream of 5 KB between zones
-/// costs about 0.3 % of its worth, a batch that is fuller by an eighth slows all of its streams by about 2 %.
-constexpr double remoteHandicap = 0.125;
+/// Added to the load of an endpoint of another zone, as a share of its slots. A stream of 5 KB between zones costs
+/// about 0.3 % of its value; a batch that is fuller by an eighth slows all of its streams by about 2 %.
+constexpr double otherZonePenalty = 0.125;
 
-/// Reading time of prompts that counts like a full endpoint: callers notice a wait of that length.
-constexpr Duration backlogOfFullEndpoint = milliseconds(500);
+/// Prompt backlog, as processing time, that adds as much load as a full endpoint: callers notice a wait of that length.
+constexpr Duration fullEndpointBacklog = milliseconds(500);
 
+/// What a request needs from an endpoint.
 struct EndpointNeed {
     ServiceName service;
     std::string weights; ///< model or MODEL/ADAPTER; empty for a plain service
-    std::int32_t oldestVersion = 0; ///< of the adapter
-    ZoneName zone; ///< of this VM
-    std::span<const EndpointName> avoid; ///< tried already
-    std::uint64_t draw = 0; ///< random, decides between equals
-    bool suspected = false; ///< it may crash the endpoint that runs it: where least is in progress
-    EndpointName reserved; ///< where its prompt has a turn: taken if it is trusted and can take it; may be empty
+    std::int32_t oldestVersion = 0; ///< minimum version of the adapter
+    ZoneName zone; ///< zone of this VM
+    std::span<const EndpointName> avoid; ///< endpoints that must not be selected: already tried
+    std::uint64_t draw = 0; ///< random number that breaks ties
+    bool suspected = false; ///< the request may crash its endpoint: select the one with the fewest requests in progress
+    EndpointName reserved; ///< where prompt pacing reserved a turn: preferred among trusted endpoints; may be empty
 };
 
 enum class ChoiceResult {
     Chosen,
-    NotHeld, ///< there are endpoints, none of them holds the weights
-    AllFull, ///< those that hold the weights run as many requests as they have slots, or take no more of us now
-    Limited, ///< of a plain service: its endpoints take no more of us now
-    NoEndpoint, ///< no endpoint of the service takes work
+    NotHeld, ///< the service has endpoints, but none of them holds the weights
+    AllFull, ///< every endpoint that holds the weights has all slots in use or is at its request limit
+    Limited, ///< plain service: its endpoints are at their request limits
+    NoEndpoint, ///< every endpoint of the service is leaving or already tried, or there is none
 };
 
 struct EndpointChoice {
     ChoiceResult result = ChoiceResult::NoEndpoint;
     EndpointName endpoint;
-    std::int32_t version = 0; ///< of the adapter, as held there
-    Duration untilRoom {0}; ///< until an endpoint that is at its limit takes one more; 0: not known
+    std::int32_t version = 0; ///< version of the adapter that the endpoint holds
+    Duration untilRoom {0}; ///< until an endpoint at its limit accepts another request; 0: unknown
 };
 
 /// @param fleet all endpoints
-/// @param need what is wanted
-/// @param now time
-/// @return an endpoint, or why there is none; an ejected one only where no other is left, one that is shunned only for
-/// a plain service
+/// @param need requirements of the request
+/// @param now current time
+/// @return an endpoint, or why there is none. An ejected endpoint is selected only if there is no other candidate; a
+/// shunned one only for a plain service, also only if there is no other
 EndpointChoice chooseEndpoint(const Fleet &fleet, const EndpointNeed &need, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/endpointlapse.cpp
+++ b/lacewing/endpointlapse.cpp
@@ -1,5 +1,5 @@
-// An outage of the store is known from this VM's own calls only: one that is cut off from the store alone holds on
-// to removed endpoints too, for the same short time after it reaches the store again.
+// A VM detects an outage of the store by its own calls only. If only this VM is cut off from the store, it also keeps
+// endpoints that are gone, for the same short time after it reaches the store again.
 
 #include "endpointlapse.h"
 
@@ -7,16 +7,16 @@
 
 bool isOutage(bool failedBefore, Duration listAge)
 {
-    return failedBefore && listAge >= shortestOutage;
+    return failedBefore && listAge >= minOutageListAge;
 }
 
 Duration lapseHold(TimePoint storeFailed, TimePoint now)
 {
     const bool everFailed = storeFailed.time_since_epoch().count() > 0;
-    if (!everFailed || now - storeFailed >= lapseWindow) {
+    if (!everFailed || now - storeFailed >= entryExpiryWindow) {
         return Duration {0};
     }
-    return storeFailed + lapseLimit - now;
+    return storeFailed + maxEntryExpiryHold - now;
 }
 
 } // namespace lacewing
--- a/lacewing/endpointlapse.h
+++ b/lacewing/endpointlapse.h
@@ -1,11 +1,12 @@
-// Whether an endpoint that was taken off the platform's list is gone, or its entry only lapsed while the store was
-// away and it could not renew it.
+// Decides whether an endpoint whose entry was removed from the platform's list is gone, or whether the entry merely
+// expired because the endpoint could not renew it during an outage of the store.
 //
-// Load pattern: the store returns after an outage and all entries have lapsed; endpoints that live are back on the
-// list within about two seconds. Dropping them at once would leave nothing to send requests to. Entries that are
-// removed later than the first reads after an outage belong to endpoints that are gone. A call that fails while this
-// VM's copy of the list is recent is no outage: entries can't lapse in that time, and who leaves without a word would
-// get requests for seconds.
+// Load pattern: the store returns after an outage and all entries have expired; running endpoints are listed again
+// within about two seconds. Dropping them at once would leave no endpoint to send requests to. An entry that is removed
+// later than the first reads after an outage belongs to an endpoint that is gone.
+//
+// A failed call while this VM's copy of the list is recent does not count as an outage: entries cannot expire in that
+// time, and an endpoint that leaves without notice would be sent requests for seconds.
 
 #pragma once
 
@@ -13,22 +14,23 @@
 
 namespace lacewing {
 
-/// A copy of the list that is younger than this shows that the store served: longer than any VM waits for its own read
-/// while nothing fails, shorter than an entry lasts without renewal.
-constexpr Duration shortestOutage = milliseconds(2000);
-/// From the last call that failed to the end of the first reads that succeed: a retry and a read interval.
-constexpr Duration lapseWindow = milliseconds(1400);
-/// From the last call that failed until an entry that is still missing belongs to an endpoint that is gone.
-constexpr Duration lapseLimit = milliseconds(2500);
+/// Minimum age of this VM's copy of the list for a failed call to count as an outage. Longer than any VM waits for its
+/// own read while nothing fails, shorter than the lifetime of an entry that is not renewed.
+constexpr Duration minOutageListAge = milliseconds(2000);
+/// A removal that is read within this time of the last failed call counts as an expired entry. Covers the first
+/// successful reads: one retry and one read interval.
+constexpr Duration entryExpiryWindow = milliseconds(1400);
+/// Time from the last failed call after which an endpoint that is still not listed is gone.
+constexpr Duration maxEntryExpiryHold = milliseconds(2500);
 
-/// @param failedBefore whether the call before failed, too
+/// @param failedBefore whether the previous call failed, too
 /// @param listAge age of this VM's copy of the list
-/// @return whether a call that fails belongs to an outage of the store
+/// @return whether a failed call is part of an outage of the store
 bool isOutage(bool failedBefore, Duration listAge);
 
-/// @param storeFailed when a call last failed in an outage of the store; zero if none did
-/// @param now when the removal was read
-/// @return how long to keep the endpoint; zero if it is gone
+/// @param storeFailed time of the last failed call in an outage of the store; zero: none
+/// @param now time when the removal was read
+/// @return how long to keep the endpoint; zero: it is gone
 Duration lapseHold(TimePoint storeFailed, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/endpointlimit.cpp
+++ b/lacewing/endpointlimit.cpp
@@ -1,4 +1,4 @@
-// The bucket starts empty: other VMs may have sent just before this one learned of the limit.
+// The bucket starts empty: other VMs may have sent requests just before this VM learned of the limit.
 
 #include "endpointlimit.h"
 
@@ -11,16 +11,16 @@
 
 double capacityOf(const EndpointLimit &limit)
 {
-    return limit.rate * std::chrono::duration<double>(savedUp).count() + savedUpBesides;
+    return limit.rate * std::chrono::duration<double>(burstTime).count() + extraBurst;
 }
 
-/// The longest time, at the stated rate, for which the bucket stays in debt.
-constexpr Duration mostDebt = milliseconds(4000);
+/// Maximum debt of the bucket, as time at the stated rate; one more request may be owed on top.
+constexpr Duration maxDebtTime = milliseconds(4000);
 
 double tokensAt(const EndpointLimit &limit, TimePoint now)
 {
-    const double passed = std::chrono::duration<double>(now - limit.refilled).count();
-    return std::min(capacityOf(limit), limit.tokens + std::max(0.0, passed) * limit.rate);
+    const double elapsed = std::chrono::duration<double>(now - limit.refilled).count();
+    return std::min(capacityOf(limit), limit.tokens + std::max(0.0, elapsed) * limit.rate);
 }
 
 void refill(EndpointLimit &limit, TimePoint now)
@@ -33,7 +33,7 @@
 
 bool isPlausibleLimit(double rate)
 {
-    return std::isfinite(rate) && rate >= lowestLimit && rate <= highestLimit;
+    return std::isfinite(rate) && rate >= minRequestRate && rate <= maxRequestRate;
 }
 
 bool isLimited(const EndpointLimit &limit)
@@ -43,13 +43,13 @@
 
 bool noteLimit(EndpointLimit &limit, double rate, TimePoint at, TimePoint now)
 {
-    const bool outdated = at < limit.ended || at + limitOverlap < limit.named;
-    const bool unordered = std::chrono::abs(at - limit.named) < limitOverlap;
-    if (outdated || (isLimited(limit) && unordered && rate >= limit.rate)) {
-        limit.named = outdated ? limit.named : std::max(limit.named, at);
+    const bool outdated = at < limit.endedAt || at + limitReorderWindow < limit.lastNamed;
+    const bool orderUnknown = std::chrono::abs(at - limit.lastNamed) < limitReorderWindow;
+    if (outdated || (isLimited(limit) && orderUnknown && rate >= limit.rate)) {
+        limit.lastNamed = outdated ? limit.lastNamed : std::max(limit.lastNamed, at);
         return false;
     }
-    limit.named = std::max(limit.named, at);
+    limit.lastNamed = std::max(limit.lastNamed, at);
     if (rate == limit.rate) {
         return false;
     }
@@ -65,19 +65,19 @@
 
 bool noteNoLimit(EndpointLimit &limit, TimePoint at)
 {
-    if (!isLimited(limit) || at < limit.named + limitOverlap) {
+    if (!isLimited(limit) || at < limit.lastNamed + limitReorderWindow) {
         return false;
     }
     limit.rate = 0;
-    limit.ended = at;
+    limit.endedAt = at;
     return true;
 }
 
 void takeRoom(EndpointLimit &limit, double requests, TimePoint now)
 {
     refill(limit, now);
-    const double lowest = -limit.rate * std::chrono::duration<double>(mostDebt).count() - 1;
-    limit.tokens = std::max(limit.tokens - requests, lowest);
+    const double minTokens = -limit.rate * std::chrono::duration<double>(maxDebtTime).count() - 1;
+    limit.tokens = std::max(limit.tokens - requests, minTokens);
 }
 
 bool hasRoom(const EndpointLimit &limit, TimePoint now)
@@ -96,7 +96,7 @@
 
 bool shouldTell(const EndpointLimit &limit, TimePoint now)
 {
-    return now - limit.told >= limitRepeat;
+    return now - limit.told >= limitAnnounceInterval;
 }
 
 } // namespace lacewing
--- a/lacewing/endpointlimit.h
+++ b/lacewing/endpointlimit.h
@@ -1,16 +1,16 @@
-// How many requests a second an endpoint in need takes, as its answers name it: the sum over all VMs.
+// Token bucket for an endpoint that states in its answers how many requests a second it accepts from all VMs together.
 //
-// Load pattern: an endpoint that can't keep up names a few requests a second, while tens of VMs choose it by load
-// alone, and it looks idle to each of them. A share for each VM would be less than one request, and idle at VMs without
-// callers. So each VM that may send there keeps the same token bucket: it takes a token for each request of its own,
-// and one for each request that another VM says it has sent. Two VMs that send in the milliseconds that such a notice
-// takes leave the bucket in debt, so that the next token comes later.
+// Load pattern: an overloaded endpoint states a limit of a few requests a second while tens of VMs select endpoints by
+// load alone, and it looks idle to each of them. An equal share for each VM would be less than one request, and would
+// go unused on VMs without callers. So each VM that may send to the endpoint keeps the same token bucket: it takes a
+// token for each request of its own and for each request that another VM announces. Two VMs that both send within the
+// milliseconds that an announcement takes put the bucket into debt, so that the next token becomes available later.
 //
-// Only VMs of the endpoint's zone send to it, and those of zones that have no endpoint of its service: what is sent is
-// told within a zone, and costs as much at hundreds of VMs as at six.
+// Only VMs of the endpoint's zone, and of zones without an endpoint of its service, send to it. Requests are announced
+// within a zone only, so the cost does not grow from six VMs to hundreds.
 //
-// What is known of the limit is as recent as the answers: newer statements replace older ones, by any VM. An answer
-// without a limit ends it, unless it was on its way together with one that names it.
+// The limit is as recent as the answers: a newer statement, received by any VM, replaces an older one. An answer
+// without a limit ends the limit, unless it was in flight at the same time as an answer that states one.
 
 #pragma once
 
@@ -20,67 +20,67 @@
 
 namespace lacewing {
 
-/// Requests that may be saved up, as a time at the stated rate, and besides: callers come in clumps.
-constexpr Duration savedUp = milliseconds(1000);
-constexpr double savedUpBesides = 1;
-/// Answers whose order in time is not known arrive within this time of each other.
-constexpr Duration limitOverlap = milliseconds(100);
-/// A limit that is still named is told again after this time, for VMs that missed it or have started since.
-constexpr Duration limitRepeat = milliseconds(1000);
-/// Rates outside these bounds are not limits but errors; requests a second.
-constexpr double lowestLimit = 1e-3;
-constexpr double highestLimit = 1e6;
+/// Capacity of the bucket: burstTime at the stated rate, plus extraBurst requests. Requests arrive in bursts.
+constexpr Duration burstTime = milliseconds(1000);
+constexpr double extraBurst = 1;
+/// Answers that arrive within this time of each other may have been sent in either order.
+constexpr Duration limitReorderWindow = milliseconds(100);
+/// A limit that answers still state is announced again after this time, for VMs that missed it or started since.
+constexpr Duration limitAnnounceInterval = milliseconds(1000);
+/// Stated rates outside these bounds are taken as errors and ignored; requests per second.
+constexpr double minRequestRate = 1e-3;
+constexpr double maxRequestRate = 1e6;
 
 struct EndpointLimit {
-    double rate = 0; ///< requests a second over all VMs; 0: none
-    double tokens = 0; ///< requests that may be sent now; negative: more were sent than it takes
-    TimePoint refilled;
-    TimePoint named; ///< when the newest answer with a limit came
-    TimePoint ended; ///< when the newest answer without one came, as far as it ended a limit
-    TimePoint told; ///< when any VM last told of it
+    double rate = 0; ///< requests per second of all VMs together; 0: no limit
+    double tokens = 0; ///< requests that may be sent now; negative: debt
+    TimePoint refilled; ///< time for which `tokens` holds
+    TimePoint lastNamed; ///< when the newest answer with a limit arrived
+    TimePoint endedAt; ///< when the answer that ended the last limit arrived
+    TimePoint told; ///< when any VM last announced the limit
 };
 
-/// @param rate as named by an endpoint
-/// @return whether it can be a limit
+/// @param rate as stated by an endpoint, requests per second
+/// @return whether it is a valid limit
 bool isPlausibleLimit(double rate);
 
 /// @param limit of an endpoint
-/// @return whether it has named one that holds
+/// @return whether a limit is in force
 bool isLimited(const EndpointLimit &limit);
 
-/// An answer named a limit.
-/// @param limit changed
-/// @param rate named, plausible
-/// @param at when the answer came, to this VM or another one
-/// @param now time
+/// Records an answer that states a limit.
+/// @param limit updated
+/// @param rate stated, a plausible one; requests per second
+/// @param at when the answer arrived at this VM or another one
+/// @param now current time
 /// @return whether the limit changed
 bool noteLimit(EndpointLimit &limit, double rate, TimePoint at, TimePoint now);
 
-/// An answer named none.
-/// @param limit changed
-/// @param at when the answer came
-/// @return whether a limit ended
+/// Records an answer that states no limit.
+/// @param limit updated
+/// @param at when the answer arrived
+/// @return whether this ended a limit
 bool noteNoLimit(EndpointLimit &limit, TimePoint at);
 
-/// A request is sent there, by this VM or another one.
-/// @param limit changed
-/// @param requests that are sent
-/// @param now time
+/// Takes tokens for requests that this VM or another one sends.
+/// @param limit updated
+/// @param requests number of requests sent
+/// @param now current time
 void takeRoom(EndpointLimit &limit, double requests, TimePoint now);
 
 /// @param limit of an endpoint
-/// @param now time
-/// @return whether one more request may be sent to it
+/// @param now current time
+/// @return whether another request may be sent to the endpoint
 bool hasRoom(const EndpointLimit &limit, TimePoint now);
 
-/// @param limit of an endpoint that has no room
-/// @param now time
-/// @return how long until it has room, if nobody else sends
+/// @param limit of an endpoint
+/// @param now current time
+/// @return how long until a request may be sent to the endpoint, if no other VM sends one
 Duration timeUntilRoom(const EndpointLimit &limit, TimePoint now);
 
 /// @param limit of an endpoint
-/// @param now time
-/// @return whether this VM, which has just had an answer that names it, is to tell the others
+/// @param now current time
+/// @return whether this VM, which has just received an answer with the limit, announces it to the other VMs
 bool shouldTell(const EndpointLimit &limit, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/endpointtrust.cpp
+++ b/lacewing/endpointtrust.cpp
@@ -1,5 +1,5 @@
-// Failures in a row rather than a share of failures: it needs no window, and a server that fails all requests
-// is out after three of them.
+// Counts consecutive failures rather than a failure rate: a count needs no time window, and a server that fails all
+// requests is ejected after three of them.
 
 #include "endpointtrust.h"
 
@@ -15,18 +15,18 @@
 bool noteFailure(EndpointTrust &trust, EndpointFailure failure, TimePoint now)
 {
     trust.failures += failure == EndpointFailure::Connect ? failuresToEject : 1;
-    if (trust.failures < failuresToEject || now < trust.usableFrom) {
+    if (trust.failures < failuresToEject || now < trust.ejectedUntil) {
         return false;
     }
-    trust.ejection = std::clamp(trust.ejection * 2, ejectionBase, ejectionLimit);
-    trust.usableFrom = now + trust.ejection;
-    trust.failures = failuresToEject - 1; // the first failure after its return ejects it again
+    trust.ejection = std::clamp(trust.ejection * 2, ejectionBase, maxEjection);
+    trust.ejectedUntil = now + trust.ejection;
+    trust.failures = failuresToEject - 1; // a single failure after its return ejects it again
     return true;
 }
 
 bool isTrusted(const EndpointTrust &trust, TimePoint now)
 {
-    return now >= trust.usableFrom;
+    return now >= trust.ejectedUntil;
 }
 
 } // namespace lacewing
--- a/lacewing/endpointtrust.h
+++ b/lacewing/endpointtrust.h
@@ -1,8 +1,8 @@
-// Whether an endpoint is trusted with work, from this VM's own experience of it.
+// Ejects an endpoint after failures that this VM has seen itself (outlier ejection).
 //
-// Load pattern: a server that goes dark, fails or hangs while the platform still lists it as ready. After
-// failuresToEject failures in a row, or one failure to connect, it gets no work for ejectionBase; each further
-// failure on its return doubles that, up to ejectionLimit. One success clears it.
+// Load pattern: a server stops, fails or hangs while the platform still lists it as ready. After failuresToEject
+// consecutive failures, or one failed connection, the endpoint is ejected for ejectionBase. Each further failure after
+// its return doubles that time, up to maxEjection. One success resets it.
 
 #pragma once
 
@@ -10,39 +10,40 @@
 
 namespace lacewing {
 
-/// Failures in a row after which an endpoint gets no work: two may be chance where a few answers in a hundred
-/// are lost; three in a row then happen once in 10,000 requests.
+/// Consecutive failures that eject an endpoint. Where a few percent of the answers are lost, two in a row may be
+/// chance; three in a row then happen once in 10,000 requests.
 constexpr int failuresToEject = 3;
-/// First time without work: about the time in which a killed process is back.
+/// Length of the first ejection: about the time in which a killed process is back.
 constexpr Duration ejectionBase = milliseconds(1000);
-/// Longest time without work: bounds how long a server that has recovered stays unused.
-constexpr Duration ejectionLimit = milliseconds(4000);
+/// Maximum length of an ejection: bounds how long a recovered server stays unused.
+constexpr Duration maxEjection = milliseconds(4000);
 
 enum class EndpointFailure {
     Connect, ///< no connection could be made
-    Broken, ///< a connection broke, or an answer was no answer, while a request was in progress
-    Silent, ///< no answer in time
-    Error, ///< it answered with a failure of its own
+    Broken, ///< the connection broke, or the answer was malformed, while a request was in progress
+    Silent, ///< the answer timed out
+    Error, ///< the endpoint answered with an error of its own
 };
 
 struct EndpointTrust {
-    int failures = 0; ///< in a row
-    Duration ejection {0}; ///< length of the last time without work
-    TimePoint usableFrom; ///< no work before
+    int failures = 0; ///< consecutive
+    Duration ejection {0}; ///< length of the latest ejection; 0: none since the last success
+    TimePoint ejectedUntil;
 };
 
-/// @param trust changed
+/// Resets failures and ejection.
+/// @param trust updated
 void noteSuccess(EndpointTrust &trust);
 
-/// @param trust changed
-/// @param failure what happened
-/// @param now time
-/// @return whether the endpoint was ejected by this
+/// @param trust updated
+/// @param failure kind of failure
+/// @param now current time
+/// @return whether this failure ejected the endpoint
 bool noteFailure(EndpointTrust &trust, EndpointFailure failure, TimePoint now);
 
 /// @param trust of an endpoint
-/// @param now time
-/// @return whether it may be given work
+/// @param now current time
+/// @return whether the endpoint is not ejected
 bool isTrusted(const EndpointTrust &trust, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/fleet.cpp
+++ b/lacewing/fleet.cpp
@@ -1,5 +1,5 @@
-// An endpoint may start again under its id. It then holds nothing and counts its orders from zero, so what was known of
-// it is replaced and not merged; entries of the incarnation before that arrive late are told by the time of its start.
+// An endpoint may restart under its id. It then holds nothing and counts its orders from zero, so its old state is
+// replaced and not merged. Late entries of the previous incarnation are recognized by its start time.
 
 #include "fleet.h"
 
@@ -15,13 +15,13 @@
 {
     FleetEndpoint endpoint;
     endpoint.entry = entry;
-    endpoint.heard = now;
+    endpoint.lastListed = now;
     fleet.endpoints.emplace(entry.id, std::move(endpoint));
     fleet.byService[entry.service].push_back(entry.id);
 }
 
-/// The endpoint no longer holds some weights.
-void loseHeld(FleetEndpoint &endpoint, const std::string &weights, TimePoint now)
+/// Removes weights that the endpoint no longer holds; an adapter is remembered in heldBefore.
+void removeHeld(FleetEndpoint &endpoint, const std::string &weights, TimePoint now)
 {
     const auto held = endpoint.entry.held.find(weights);
     if (held == endpoint.entry.held.end()) {
@@ -57,10 +57,11 @@
         addEndpoint(fleet, entry, now);
         return ListedAs::Restarted;
     }
-    known.heard = now;
+    known.lastListed = now;
     HeldVersions held = std::move(known.entry.held);
     const std::int64_t orders = known.entry.orders;
-    const bool leaving = known.entry.leaving || entry.leaving; // an incarnation that leaves never comes back
+    const bool leaving
+        = known.entry.leaving || entry.leaving; // an incarnation that is leaving never becomes ready again
     known.entry = entry;
     known.entry.leaving = leaving;
     if (orders > entry.orders) {
@@ -107,7 +108,7 @@
     const HeldVersions before = known.entry.held;
     for (const auto &[weights, version] : before) {
         if (!held.contains(weights)) {
-            loseHeld(known, weights, now);
+            removeHeld(known, weights, now);
         }
     }
     known.entry.held = std::move(held);
@@ -123,7 +124,7 @@
     FleetEndpoint &known = found->second;
     known.entry.orders = orders;
     for (const std::string &weights : lost) {
-        loseHeld(known, weights, now);
+        removeHeld(known, weights, now);
     }
     for (const auto &[weights, version] : gained) {
         known.entry.held[weights] = version;
@@ -136,13 +137,13 @@
     const auto found = fleet.endpoints.find(id);
     if (found != fleet.endpoints.end()) {
         found->second.allRunning = running;
-        found->second.ownWhenReported = found->second.ownRunning;
+        found->second.ownRunningAtReport = found->second.ownRunning;
     }
 }
 
 std::int32_t estimateRunning(const FleetEndpoint &endpoint)
 {
-    const std::int32_t others = std::max(0, endpoint.allRunning - endpoint.ownWhenReported);
+    const std::int32_t others = std::max(0, endpoint.allRunning - endpoint.ownRunningAtReport);
     return others + endpoint.ownRunning;
 }
 
--- a/lacewing/fleet.h
+++ b/lacewing/fleet.h
@@ -1,8 +1,8 @@
-// The endpoints of all services as this VM knows them: who is there, what each holds and how busy it is.
+// The endpoints of all services as known to this VM: which exist, which weights they hold and how busy they are.
 //
-// Two sources are merged. The platform's list says who is there; it is some seconds old. The placement owner
-// of a zone says what the endpoints of that zone hold and how busy they are; it is fresher. What an endpoint
-// holds is taken from the source that has seen more orders accepted by the endpoint.
+// Merges two sources. The platform's list says which endpoints exist; it is some seconds old. The placement owner of a
+// zone reports which weights the endpoints of that zone hold and how busy they are; its reports are fresher. The
+// weights of an endpoint are taken from the source that has seen more orders accepted by the endpoint.
 
 #pragma once
 
@@ -23,34 +23,34 @@
 
 namespace lacewing {
 
-/// Weights that an endpoint holds: a model, or an adapter as "MODEL/ADAPTER", with its version.
+/// Versions of the weights that an endpoint holds, by name: a model, or an adapter as "MODEL/ADAPTER".
 using HeldVersions = std::map<std::string, std::int32_t, std::less<>>;
 
 /// An endpoint as listed by the platform.
 struct EndpointEntry {
     EndpointName id;
-    std::int64_t born = 0; ///< start of this incarnation, Unix milliseconds; 0: not known
+    std::int64_t born = 0; ///< start of this incarnation, Unix milliseconds; 0: unknown
     ServiceName service;
     std::string address; ///< host:port
     ZoneName zone;
-    std::int32_t slots = 1;
+    std::int32_t slots = 1; ///< requests that it runs concurrently
     bool leaving = false;
     std::int64_t orders = 0; ///< orders accepted by this incarnation
     HeldVersions held;
 };
 
 struct FleetEndpoint {
-    EndpointEntry entry; ///< held and orders are of the freshest source
+    EndpointEntry entry; ///< `held` and `orders` are from the fresher source
     EndpointTrust trust;
     SharedFailures failures;
     EndpointLimit limit;
-    HeldBefore heldBefore; ///< as the placement owner's news tell
-    PromptQueue prompts; ///< of all VMs, as far as they said so
+    HeldBefore heldBefore; ///< adapters unloaded since, by the placement owner's updates
+    PromptQueue prompts; ///< of all VMs, as far as they announced them
     std::int32_t ownRunning = 0; ///< requests of this VM in progress there
-    std::int32_t ownSuspects = 0; ///< of these, that may crash it
-    std::int32_t allRunning = 0; ///< of all VMs, when the owner last said so
-    std::int32_t ownWhenReported = 0; ///< ownRunning at that time
-    TimePoint heard; ///< when the platform's list last named it
+    std::int32_t ownSuspects = 0; ///< requests among them that may crash the endpoint
+    std::int32_t allRunning = 0; ///< requests of all VMs in progress there, as last reported by the placement owner
+    std::int32_t ownRunningAtReport = 0; ///< ownRunning at the time of that report
+    TimePoint lastListed; ///< when the platform's list last contained it
 };
 
 struct Fleet {
@@ -59,70 +59,70 @@
     ListKnowledge list;
 };
 
-/// What an entry of the platform's list turned out to be.
+/// How an entry of the platform's list relates to what is known.
 enum class ListedAs {
-    Known, ///< an incarnation that was known already
-    New, ///< an endpoint that was not known
-    Restarted, ///< a later incarnation: all that was known of the one before is forgotten
-    Outdated, ///< an incarnation that has ended; nothing is changed
+    Known, ///< the known incarnation
+    New, ///< an unknown endpoint
+    Restarted, ///< a later incarnation: replaces all that was known of the previous one
+    Outdated, ///< an earlier incarnation, which has ended: ignored
 };
 
 /// @param fleet all endpoints
 /// @param entry of the platform's list
-/// @return whether it is of an incarnation that has ended
+/// @return whether its incarnation has ended: a later one is known
 bool isOutdated(const Fleet &fleet, const EndpointEntry &entry);
 
 /// @param fleet all endpoints
 /// @param id of an endpoint
 /// @param born start of an incarnation
-/// @return whether that incarnation is known to leave
+/// @return whether that incarnation is the known one and is leaving
 bool isLeaving(const Fleet &fleet, const EndpointName &id, std::int64_t born);
 
-/// Takes in an entry of the platform's list.
-/// @param fleet changed
+/// Merges an entry of the platform's list.
+/// @param fleet updated
 /// @param entry new or changed entry
-/// @param now time
-/// @return what it was
+/// @param now current time
+/// @return how the entry relates to what was known before
 ListedAs putEndpoint(Fleet &fleet, const EndpointEntry &entry, TimePoint now);
 
-/// @param fleet changed
+/// @param fleet updated
 /// @param id of an endpoint that is gone
 void removeEndpoint(Fleet &fleet, const EndpointName &id);
 
-/// Takes in what the placement owner says of an endpoint.
-/// @param fleet changed; unknown endpoints are left out
+/// Merges a full report of the placement owner on an endpoint.
+/// @param fleet updated; unchanged if the endpoint is unknown
 /// @param id of the endpoint
-/// @param orders accepted by the endpoint when the owner last looked
-/// @param held what it holds then
+/// @param orders accepted by the endpoint at the time of the report
+/// @param held weights that it held at that time
 /// @param running requests of all VMs in progress there
-/// @param now time
+/// @param now current time
 void putHoldings(Fleet &fleet, const EndpointName &id, std::int64_t orders, HeldVersions held, std::int32_t running,
                  TimePoint now);
 
 /// @param fleet all endpoints
 /// @param id of an endpoint
 /// @param born start of an incarnation
-/// @return whether that incarnation is the one known now
+/// @return whether that incarnation is the known one
 bool isIncarnation(const Fleet &fleet, const EndpointName &id, std::int64_t born);
 
-/// Takes in a difference of what an endpoint holds, as the placement owner says.
-/// @param fleet changed; unknown endpoints are left out
+/// Merges an incremental update of the placement owner on the weights of an endpoint.
+/// @param fleet updated; unchanged if the endpoint is unknown
 /// @param id of the endpoint
-/// @param orders accepted by the endpoint when the owner last looked
-/// @param gained what it holds now
-/// @param lost what it holds no more
-/// @param now time
+/// @param orders accepted by the endpoint at the time of the update
+/// @param gained weights that it holds now
+/// @param lost weights that it no longer holds
+/// @param now current time
 void putChange(Fleet &fleet, const EndpointName &id, std::int64_t orders, const HeldVersions &gained,
                const std::vector<std::string> &lost, TimePoint now);
 
-/// Takes in how busy an endpoint is, as the placement owner says.
-/// @param fleet changed; unknown endpoints are left out
+/// Updates how busy an endpoint is, as reported by the placement owner.
+/// @param fleet updated; unchanged if the endpoint is unknown
 /// @param id of the endpoint
 /// @param running requests of all VMs in progress there
 void putRunning(Fleet &fleet, const EndpointName &id, std::int32_t running);
 
 /// @param endpoint any endpoint
-/// @return requests in progress there, as well as this VM can tell
+/// @return estimated number of requests in progress there: those of this VM, and of the others as last reported
 std::int32_t estimateRunning(const FleetEndpoint &endpoint);
 
 /// @param fleet all endpoints
--- a/lacewing/limiteduse.cpp
+++ b/lacewing/limiteduse.cpp
@@ -1,4 +1,4 @@
-// Where most endpoints of a zone are limited, leaving them out would leave no place for adapters.
+// If most endpoints of a zone are limited, they are not excluded: no endpoint would be left to place adapters on.
 
 #include "limiteduse.h"
 
@@ -37,7 +37,7 @@
             limited += isLimited(other.limit) ? 1 : 0;
         }
     }
-    return static_cast<double>(limited) > mostUnplacedShare * static_cast<double>(all);
+    return static_cast<double>(limited) > maxUnplacedShare * static_cast<double>(all);
 }
 
 } // namespace lacewing
--- a/lacewing/listknowledge.cpp
+++ b/lacewing/listknowledge.cpp
@@ -1,5 +1,5 @@
-// Offsets are those of the store, so statements of two VMs that both take themselves for the owner don't contradict
-// each other: each is true of its own copy.
+// Offsets are those of the store. So the announcements of two VMs that both consider themselves the owner do not
+// contradict each other: each is true of the sender's own copy.
 
 #include "listknowledge.h"
 
@@ -7,11 +7,11 @@
 
 namespace lacewing {
 
-void noteOwnRead(ListKnowledge &knowledge, std::int64_t offset, TimePoint asked)
+void noteOwnRead(ListKnowledge &knowledge, std::int64_t offset, TimePoint readStart)
 {
     knowledge.offset = std::max(knowledge.offset, offset);
-    if (asked > knowledge.current) {
-        knowledge.current = asked;
+    if (readStart > knowledge.current) {
+        knowledge.current = readStart;
         knowledge.source.clear();
     }
 }
@@ -24,13 +24,13 @@
 
 void noteStatement(ListKnowledge &knowledge, const ListStatement &statement, const VmId &source)
 {
-    const bool saysFrom = statement.previous != noOffset;
-    knowledge.announced = std::max(knowledge.announced, saysFrom ? statement.previous : statement.offset);
+    const bool hasPrevious = statement.previous != noOffset;
+    knowledge.requiredOffset = std::max(knowledge.requiredOffset, hasPrevious ? statement.previous : statement.offset);
     if (!follows(knowledge, statement)) {
         return;
     }
     knowledge.offset = std::max(knowledge.offset, statement.offset);
-    knowledge.ownersRead = std::max(knowledge.ownersRead, statement.read);
+    knowledge.newestOwnerRead = std::max(knowledge.newestOwnerRead, statement.read);
     if (statement.read > knowledge.current) {
         knowledge.current = statement.read;
         knowledge.source = source;
@@ -39,36 +39,36 @@
 
 void breakChain(ListChain &chain)
 {
-    chain.passedOn = noOffset;
+    chain.announcedOffset = noOffset;
 }
 
 void beginChain(ListChain &chain, const ListKnowledge &knowledge)
 {
-    chain.passedOn = knowledge.offset;
+    chain.announcedOffset = knowledge.offset;
 }
 
 void noteToldByOther(ListChain &chain, std::int64_t before, const ListKnowledge &knowledge)
 {
     if (knowledge.offset > before) {
-        chain.passedOn = knowledge.offset;
+        chain.announcedOffset = knowledge.offset;
     }
 }
 
 ListStatement nextStatement(ListChain &chain, const ListKnowledge &knowledge, bool changes)
 {
-    if (chain.passedOn == noOffset) {
-        chain.passedOn = knowledge.offset;
+    if (chain.announcedOffset == noOffset) {
+        chain.announcedOffset = knowledge.offset;
     }
-    const ListStatement statement {chain.passedOn, knowledge.offset, knowledge.current};
+    const ListStatement statement {chain.announcedOffset, knowledge.offset, knowledge.current};
     if (changes) {
-        chain.passedOn = knowledge.offset;
+        chain.announcedOffset = knowledge.offset;
     }
     return statement;
 }
 
 bool isCovered(const ListKnowledge &knowledge, TimePoint now)
 {
-    return knowledge.offset >= knowledge.announced && now - knowledge.ownersRead < readValidity;
+    return knowledge.offset >= knowledge.requiredOffset && now - knowledge.newestOwnerRead < readValidity;
 }
 
 } // namespace lacewing
--- a/lacewing/sharedfailures.cpp
+++ b/lacewing/sharedfailures.cpp
@@ -1,4 +1,4 @@
-// A few reports for each endpoint, so they are searched from the front; old ones go with each new one.
+// There are only a few reports for each endpoint, so a linear search is enough. Each new report removes expired ones.
 
 #include "sharedfailures.h"
 
@@ -36,7 +36,7 @@
 
 bool mayShunOneMore(std::size_t shunned, std::size_t all)
 {
-    return static_cast<double>(shunned + 1) <= mostShunnedShare * static_cast<double>(all);
+    return static_cast<double>(shunned + 1) <= maxShunnedShare * static_cast<double>(all);
 }
 
 bool isShunned(const SharedFailures &failures, TimePoint now)
@@ -46,26 +46,26 @@
 
 Duration shunningTime(std::uint64_t draw)
 {
-    const auto spread = static_cast<std::uint64_t>(shunningSpread.count());
-    return shortestShunning + Duration {static_cast<Duration::rep>(draw % spread)};
+    const auto spread = static_cast<std::uint64_t>(shunTimeSpread.count());
+    return minShunTime + Duration {static_cast<Duration::rep>(draw % spread)};
 }
 
 bool shouldReport(SharedFailures &failures, TimePoint now)
 {
-    if (isShunned(failures, now) || now - failures.reported < statementInterval) {
-        return false; // the others know, or were told just now
+    if (isShunned(failures, now) || now - failures.lastReported < announceInterval) {
+        return false; // the other VMs know already, or a report was announced just before
     }
-    failures.reported = now;
+    failures.lastReported = now;
     return true;
 }
 
 bool shouldVouch(SharedFailures &failures, TimePoint now)
 {
-    const bool doubted = !failures.reports.empty() || isShunned(failures, now);
-    if (!doubted || now - failures.vouched < statementInterval) {
+    const bool hasReports = !failures.reports.empty() || isShunned(failures, now);
+    if (!hasReports || now - failures.lastSuccessAnnounced < announceInterval) {
         return false;
     }
-    failures.vouched = now;
+    failures.lastSuccessAnnounced = now;
     return true;
 }
 
--- a/lacewing/sharedfailures.h
+++ b/lacewing/sharedfailures.h
@@ -1,22 +1,22 @@
-// Whether an endpoint fails for others: what VMs tell each other of the endpoints that they use.
+// Decides whether an endpoint fails for other VMs, too, from the results that VMs announce to each other.
 //
-// Load pattern: a third of the endpoints crashes at one moment, or an endpoint resets each request while its health
-// answers are good, before hundreds of VMs that meet it once in many seconds each. With its own experience alone each
-// of them loses a request or three there, and as an endpoint that fails at once looks idle, it draws more than others.
+// Load pattern: a third of the endpoints crash at the same moment, or an endpoint resets each request while its health
+// checks succeed; hundreds of VMs send to it, each once in many seconds. With its own experience alone each VM loses
+// one to three requests there, and because an endpoint that fails at once looks idle, it attracts more than its share.
 //
-// A VM reports an endpoint when a connection to it can't be made, or breaks under a request. Who hears reports of
-// reportersToShun different VMs within reportWindow, and of no success, shuns the endpoint: it gets no work, and what
-// it holds does not count as held. What keeps sound endpoints in use:
+// A VM reports an endpoint if a connection to it cannot be made or breaks during a request. A VM that receives reports
+// of reportersToShun different VMs within reportWindow, and no success, shuns the endpoint: it sends no requests to it,
+// and the weights that the endpoint holds do not count as held. These rules keep sound endpoints in use:
 //
-// - One VM, however faulty, is one reporter.
-// - Where some requests in a hundred fail, others succeed: a VM that has a success at an endpoint of which it heard
-//   reports says so, and that takes all reports back.
-// - A cut between zones makes many VMs report endpoints behind it. One of the reporters must be of the endpoint's own
-//   zone, or of the zone of whoever counts, which is on the same side of any cut.
-// - No more than mostShunnedShare of a service's endpoints are shunned: where more seem to fail, it is the network.
+// - A single VM, however faulty, counts as one reporter.
+// - Where a few percent of the requests fail, others succeed: a VM that has a success at an endpoint with reports
+//   announces it, and the announcement clears all reports.
+// - A network partition between zones makes many VMs report the endpoints on the other side. At least one reporter must
+//   be in the zone of the endpoint or in the zone of the VM that counts, which is on the same side of any partition.
+// - At most maxShunnedShare of a service's endpoints are shunned: if more seem to fail, the network is at fault.
 //
-// The way back: an endpoint is shunned for a time that is drawn anew on each VM, so that a few VMs try it first. They
-// report it again, or say that it works, before the others try it too.
+// Recovery: each VM draws the time for which it shuns the endpoint anew, so that a few VMs try it first. They report it
+// again or announce a success before the others try it.
 
 #pragma once
 
@@ -28,73 +28,73 @@
 
 namespace lacewing {
 
-/// Different VMs that must report an endpoint.
+/// Number of different VMs that must report an endpoint.
 constexpr std::size_t reportersToShun = 3;
-/// Reports that are older don't count.
+/// Maximum age of reports that count.
 constexpr Duration reportWindow = milliseconds(2000);
-/// Between two statements of one VM on one endpoint, for each kind: bounds what is said of it.
-constexpr Duration statementInterval = milliseconds(500);
-/// Share of a service's endpoints that may be shunned.
-constexpr double mostShunnedShare = 0.5;
-/// Shortest time for which an endpoint is shunned, and how much longer it is at most, as drawn.
-constexpr Duration shortestShunning = milliseconds(1000);
-constexpr Duration shunningSpread = milliseconds(2000);
-
-/// A VM could not use an endpoint.
+/// Minimum interval between two announcements of the same kind by one VM on one endpoint: bounds the traffic.
+constexpr Duration announceInterval = milliseconds(500);
+/// Maximum share of a service's endpoints that may be shunned.
+constexpr double maxShunnedShare = 0.5;
+/// An endpoint is shunned for minShunTime plus a random time of less than shunTimeSpread.
+constexpr Duration minShunTime = milliseconds(1000);
+constexpr Duration shunTimeSpread = milliseconds(2000);
+
+/// Report that a VM could not use an endpoint.
 struct FailureReport {
     VmId vm;
-    ZoneName zone; ///< of the VM
-    TimePoint at;
+    ZoneName zone; ///< zone of the VM
+    TimePoint at; ///< when the report was received, or made by this VM
 };
 
-/// What this VM heard and said of an endpoint.
+/// What this VM has received and announced about an endpoint.
 struct SharedFailures {
-    std::vector<FailureReport> reports; ///< the latest of each VM, since the last known success
-    TimePoint shunnedUntil; ///< no work before
-    TimePoint reported; ///< when this VM last reported it
-    TimePoint vouched; ///< when this VM last said that it works
+    std::vector<FailureReport> reports; ///< latest report of each VM since the last known success
+    TimePoint shunnedUntil;
+    TimePoint lastReported; ///< when this VM last announced a failure
+    TimePoint lastSuccessAnnounced; ///< when this VM last announced a success
 };
 
-/// @param failures changed
-/// @param report of this VM or another one
+/// @param failures updated
+/// @param report of this VM or another one; replaces an earlier one of the same VM
 void noteReport(SharedFailures &failures, const FailureReport &report);
 
-/// A request succeeded there, on this VM or another one.
-/// @param failures changed
+/// Clears the reports and ends the shunning after a request of this VM or another one has succeeded.
+/// @param failures updated
 void noteWorks(SharedFailures &failures);
 
 /// @param failures of an endpoint
 /// @param endpointZone its zone
 /// @param ownZone zone of this VM
-/// @param now time
-/// @return whether the reports suffice to shun it
+/// @param now current time
+/// @return whether the reports suffice to shun the endpoint
 bool isReportedFailing(const SharedFailures &failures, const ZoneName &endpointZone, const ZoneName &ownZone,
                        TimePoint now);
 
-/// @param shunned endpoints of a service that are shunned
-/// @param all its endpoints
-/// @return whether one more may be
+/// @param shunned number of endpoints of a service that are shunned
+/// @param all number of its endpoints
+/// @return whether another one may be shunned
 bool mayShunOneMore(std::size_t shunned, std::size_t all);
 
 /// @param failures of an endpoint
-/// @param now time
-/// @return whether it gets no work
+/// @param now current time
+/// @return whether the endpoint is shunned
 bool isShunned(const SharedFailures &failures, TimePoint now);
 
-/// @param draw random
-/// @return for how long to shun
+/// @param draw random number
+/// @return how long to shun the endpoint
 Duration shunningTime(std::uint64_t draw);
 
-/// This VM could not use the endpoint.
-/// @param failures changed
-/// @param now time
-/// @return whether to tell the other VMs
+/// Called when this VM could not use the endpoint.
+/// @param failures updated
+/// @param now current time
+/// @return whether to announce the failure to the other VMs
 bool shouldReport(SharedFailures &failures, TimePoint now);
 
-/// This VM had a success there.
-/// @param failures changed
-/// @param now time
-/// @return whether to tell the other VMs
+/// Called when a request of this VM has succeeded.
+/// @param failures updated
+/// @param now current time
+/// @return whether to announce the success to the other VMs
 bool shouldVouch(SharedFailures &failures, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/testing/endpointchoicetest.cpp
+++ b/lacewing/testing/endpointchoicetest.cpp
@@ -1,4 +1,4 @@
-// Which endpoint a request goes to, and how an endpoint loses and regains trust.
+// Selection of endpoints, their ejection after failures, and restarts under the same id.
 
 #include <criterion/criterion.h>
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-Test(endpointchoice, leastBusyHolderIsTaken)
+Test(endpointchoice, leastLoadedHolderIsSelected)
 {
     Fleet fleet;
     putEndpoint(fleet, makeEntry("e1", "a", {{"m", 1}, {"m/x", 1}}), start);
@@ -47,7 +47,7 @@
     cr_assert_eq(choice.version, 1);
 }
 
-Test(endpointchoice, saysWhyThereIsNone)
+Test(endpointchoice, reportsWhyNoEndpointIsSelected)
 {
     Fleet fleet;
     cr_assert_eq(chooseEndpoint(fleet, need(), start).result, ChoiceResult::NoEndpoint);
@@ -56,7 +56,7 @@
     cr_assert_eq(chooseEndpoint(fleet, need(), start).result, ChoiceResult::Chosen);
 }
 
-Test(endpointchoice, ownZoneUnlessItIsMuchBusier)
+Test(endpointchoice, ownZoneIsPreferredUnlessItIsMuchBusier)
 {
     Fleet fleet;
     putEndpoint(fleet, makeEntry("near", "a"), start);
@@ -67,7 +67,7 @@
     cr_assert_eq(chooseEndpoint(fleet, need(), start).endpoint, "far");
 }
 
-Test(endpointchoice, aRequestThatMayCrashItsEndpointGoesWhereLeastWouldEndWithIt)
+Test(endpointchoice, suspectedRequestGoesToEndpointWithFewestRequests)
 {
     Fleet fleet;
     putEndpoint(fleet, makeEntry("near", "a"), start);
@@ -78,10 +78,11 @@
     cr_assert_eq(chooseEndpoint(fleet, need(), start).endpoint, "near");
     cr_assert_eq(chooseEndpoint(fleet, suspect, start).endpoint, "far");
     fleet.endpoints.at("far").ownSuspects = 1;
-    cr_assert_eq(chooseEndpoint(fleet, suspect, start).endpoint, "near", "apart from another suspect");
+    cr_assert_eq(chooseEndpoint(fleet, suspect, start).endpoint, "near",
+                 "not on the same endpoint as another suspected request");
 }
 
-Test(endpointchoice, leavingEndpointGetsNothingEvenIfListedAsReadyAgain)
+Test(endpointchoice, leavingEndpointIsNotSelectedEvenIfListedAsReadyAgain)
 {
     Fleet fleet;
     EndpointEntry entry = makeEntry("e1", "a");
@@ -92,7 +93,7 @@
     cr_assert_eq(chooseEndpoint(fleet, need(), start).result, ChoiceResult::NoEndpoint);
 }
 
-Test(endpointchoice, newestVersionIsPreferredAndAnOldOneMayBeRuledOut)
+Test(endpointchoice, newestVersionIsPreferredAndOlderOnesMayBeExcluded)
 {
     Fleet fleet;
     putEndpoint(fleet, makeEntry("old", "a", {{"m/x", 1}}), start);
@@ -106,21 +107,21 @@
     cr_assert_eq(chooseEndpoint(fleet, strict, start).result, ChoiceResult::NotHeld);
 }
 
-Test(endpointchoice, fresherSourceOfHoldingsWins)
+Test(endpointchoice, holdingsAreTakenFromTheFresherSource)
 {
     Fleet fleet;
     EndpointEntry entry = makeEntry("e1", "a", {{"m", 1}});
     entry.orders = 3;
     putEndpoint(fleet, entry, start);
     putHoldings(fleet, "e1", 5, {{"m", 1}, {"m/x", 1}}, 0, start);
-    putEndpoint(fleet, entry, start); // the list is behind
+    putEndpoint(fleet, entry, start); // the list is older than the holdings
     cr_assert_eq(chooseEndpoint(fleet, need("m/x"), start).result, ChoiceResult::Chosen);
     entry.orders = 6;
     putEndpoint(fleet, entry, start);
     cr_assert_eq(chooseEndpoint(fleet, need("m/x"), start).result, ChoiceResult::NotHeld);
 }
 
-Test(endpointchoice, equalEndpointsShareTheWork)
+Test(endpointchoice, equallyLoadedEndpointsShareRequests)
 {
     Fleet fleet;
     for (int index = 0; index < 8; ++index) {
@@ -138,7 +139,7 @@
     }
 }
 
-Test(endpointtrust, threeFailuresInARowOrOneFailedConnectionEject)
+Test(endpointtrust, threeConsecutiveFailuresOrOneFailedConnectionEject)
 {
     EndpointTrust trust;
     cr_assert_not(noteFailure(trust, EndpointFailure::Broken, start));
@@ -153,22 +154,22 @@
     cr_assert(noteFailure(other, EndpointFailure::Connect, start));
 }
 
-Test(endpointtrust, ejectionsGrowUpToTheLimitAndEndWithASuccess)
+Test(endpointtrust, ejectionsGrowUpToTheMaximumAndEndWithASuccess)
 {
     EndpointTrust trust;
     TimePoint now = start;
     noteFailure(trust, EndpointFailure::Connect, now);
     for (int round = 0; round < 6; ++round) {
-        now = trust.usableFrom;
+        now = trust.ejectedUntil;
         cr_assert(noteFailure(trust, EndpointFailure::Error, now));
-        cr_assert(trust.usableFrom - now <= ejectionLimit);
+        cr_assert(trust.ejectedUntil - now <= maxEjection);
     }
-    cr_assert_eq(trust.usableFrom - now, ejectionLimit);
+    cr_assert_eq(trust.ejectedUntil - now, maxEjection);
     noteSuccess(trust);
     cr_assert(isTrusted(trust, now));
 }
 
-Test(endpointtrust, allEjectedStillGetWork)
+Test(endpointtrust, ejectedEndpointIsSelectedIfAllAreEjected)
 {
     Fleet fleet;
     putEndpoint(fleet, makeEntry("e1", "a"), start);
@@ -179,7 +180,7 @@
     cr_assert_eq(chooseEndpoint(fleet, need(), start).result, ChoiceResult::Chosen);
 }
 
-Test(fleet, anEndpointThatStartsAgainUnderItsIdIsKnownAnew)
+Test(fleet, restartUnderTheSameIdReplacesTheState)
 {
     Fleet fleet;
     EndpointEntry entry = makeEntry("e1", "a", {{"m", 1}, {"m/x", 1}});
@@ -201,7 +202,7 @@
     cr_assert_eq(putEndpoint(fleet, restarted, start), ListedAs::Restarted);
     const FleetEndpoint &now = fleet.endpoints.at("e1");
     cr_assert_eq(now.entry.orders, 1);
-    cr_assert_eq(now.entry.held.size(), 1, "the adapter of before is not held");
+    cr_assert_eq(now.entry.held.size(), 1, "the adapter of the previous incarnation is not held");
     cr_assert_not(now.entry.leaving);
     cr_assert_eq(estimateRunning(now), 0);
     cr_assert(isTrusted(now.trust, start));
--- a/lacewing/testing/endpointlapsetest.cpp
+++ b/lacewing/testing/endpointlapsetest.cpp
@@ -1,4 +1,5 @@
-// Entries that vanish from the list: around an outage they are waited for, otherwise the endpoint is gone.
+// Entries that disappear from the list: shortly after an outage of the store the endpoint is kept, otherwise it is
+// gone.
 
 #include <criterion/criterion.h>
 
@@ -12,25 +13,25 @@
 
 } // namespace
 
-Test(endpointlapse, withoutAnOutageTheEndpointIsGone)
+Test(endpointlapse, removedWithoutOutageIsGone)
 {
     cr_assert_eq(lapseHold(TimePoint {}, failed), Duration {0});
 }
 
-Test(endpointlapse, firstReadsAfterAnOutageAreHeldUpToTheLimit)
+Test(endpointlapse, removedInFirstReadsAfterOutageIsKeptUpToTheLimit)
 {
-    cr_assert_eq(lapseHold(failed, failed + milliseconds(300)), lapseLimit - milliseconds(300));
+    cr_assert_eq(lapseHold(failed, failed + milliseconds(300)), maxEntryExpiryHold - milliseconds(300));
 }
 
-Test(endpointlapse, anEndpointThatLeavesLaterIsGoneAtOnce)
+Test(endpointlapse, removedLaterAfterOutageIsGone)
 {
-    // Three seconds after the store answered again: holding on sent requests to a server that had left.
+    // Three seconds after the store answers again: keeping the endpoint sends requests to a server that has left.
     cr_assert_eq(lapseHold(failed, failed + milliseconds(3070)), Duration {0});
 }
 
-Test(endpointlapse, aFailedCallWhileTheListIsRecentIsNoOutage)
+Test(endpointlapse, failedCallWithRecentListIsNoOutage)
 {
     cr_assert_not(isOutage(true, milliseconds(1600)));
-    cr_assert_not(isOutage(false, milliseconds(2300))); // one answer that was waited for in vain
+    cr_assert_not(isOutage(false, milliseconds(2300))); // a single call that timed out
     cr_assert(isOutage(true, milliseconds(2300)));
 }
--- a/lacewing/testing/endpointlimittest.cpp
+++ b/lacewing/testing/endpointlimittest.cpp
@@ -1,4 +1,5 @@
-// Limits that endpoints name: single rules, then many VMs that share one on a paused clock, with notices that are lost.
+// Request limits that endpoints state: first single rules, then many VMs that share a limit on a simulated clock, where
+// some announcements are lost.
 
 #include "endpointlimit.h"
 
@@ -48,7 +49,7 @@
 
 } // namespace
 
-Test(endpointlimit, whatCanBeNoLimitIsIgnored)
+Test(endpointlimit, implausibleRatesAreRejected)
 {
     for (const double rate :
          {0.0, -3.0, 1e300, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
@@ -57,7 +58,7 @@
     cr_assert(isPlausibleLimit(2.2));
 }
 
-Test(endpointlimit, anAnswerThatArrivesLateDoesNotOverrideANewerOne)
+Test(endpointlimit, lateAnswerDoesNotOverrideANewerOne)
 {
     EndpointLimit limit = limitOf(3);
     const TimePoint later = start + milliseconds(2000);
@@ -65,11 +66,11 @@
     cr_assert_not(noteLimit(limit, 3, later - milliseconds(500), later + milliseconds(10)));
     cr_assert_eq(limit.rate, 1);
     cr_assert(noteNoLimit(limit, later + milliseconds(500)));
-    cr_assert_not(noteLimit(limit, 1, later, later + milliseconds(600)), "named before it ended");
+    cr_assert_not(noteLimit(limit, 1, later, later + milliseconds(600)), "stated before the limit ended");
     cr_assert_not(isLimited(limit));
 }
 
-Test(endpointlimit, ofTwoAnswersWhoseOrderIsNotKnownTheLowerLimitHolds)
+Test(endpointlimit, lowerLimitHoldsIfTheOrderOfAnswersIsUnknown)
 {
     EndpointLimit limit = limitOf(3);
     cr_assert_not(noteNoLimit(limit, start + milliseconds(20)));
@@ -77,18 +78,18 @@
     cr_assert_eq(limit.rate, 3);
     cr_assert(noteLimit(limit, 2, start + milliseconds(30), start + milliseconds(30)));
     const TimePoint later = start + milliseconds(500);
-    cr_assert(noteLimit(limit, 5, later, later), "it rose");
+    cr_assert(noteLimit(limit, 5, later, later), "the limit rose");
 }
 
-Test(endpointlimit, aLimitThatIsNoLongerNamedEnds)
+Test(endpointlimit, limitThatIsNoLongerStatedEnds)
 {
     EndpointLimit limit = limitOf(3);
     cr_assert(noteNoLimit(limit, start + milliseconds(500)));
     cr_assert(hasRoom(limit, start + milliseconds(500)));
-    cr_assert_not(noteNoLimit(limit, start + milliseconds(600)), "told once");
+    cr_assert_not(noteNoLimit(limit, start + milliseconds(600)), "reported once");
 }
 
-Test(endpointlimit, whatIsSavedUpIsBounded)
+Test(endpointlimit, burstIsBounded)
 {
     EndpointLimit limit = limitOf(3);
     TimePoint now = start + milliseconds(60000);
@@ -102,7 +103,7 @@
     cr_assert(hasRoom(limit, now));
 }
 
-Test(endpointlimit, aRequestGoesToAnotherEndpointWhereOneIsAtItsLimit)
+Test(endpointlimit, requestGoesToAnotherEndpointIfOneIsAtItsLimit)
 {
     Fleet fleet;
     noteLimit(add(fleet, "i-1", "z").limit, 2, start, start);
@@ -113,7 +114,7 @@
     cr_assert_eq(choose(fleet, "z", start).endpoint, "i-2");
 }
 
-Test(endpointlimit, anAdapterHeldOnlyWhereTheLimitIsReachedIsWaitedFor)
+Test(endpointlimit, adapterHeldOnlyAtTheLimitIsWaitedFor)
 {
     Fleet fleet;
     FleetEndpoint &endpoint = add(fleet, "i-1", "z");
@@ -123,12 +124,12 @@
     cr_assert_eq(choose(fleet, "z", start + milliseconds(500), "m/a1").result, ChoiceResult::Chosen);
 }
 
-Test(endpointlimit, vmsOfOtherZonesLeaveItToThoseOfItsOwn)
+Test(endpointlimit, limitedEndpointIsUsedByItsOwnZoneOnly)
 {
     Fleet fleet;
     noteLimit(add(fleet, "i-1", "z").limit, 2, start, start);
     const TimePoint later = start + milliseconds(2000);
-    cr_assert_eq(choose(fleet, "y", later).endpoint, "i-1", "zone y has none of its own");
+    cr_assert_eq(choose(fleet, "y", later).endpoint, "i-1", "zone y has no endpoint of its own");
     add(fleet, "i-2", "y").entry.leaving = true;
     cr_assert_eq(choose(fleet, "y", later).result, ChoiceResult::Limited);
     cr_assert_eq(choose(fleet, "z", later).endpoint, "i-1");
@@ -136,10 +137,10 @@
 
 namespace {
 
-/// VMs of one zone that all want to send to one endpoint as often as they may. A notice takes some milliseconds or is
-/// lost.
+/// VMs of one zone that all send to one endpoint as often as its limit allows. An announcement of a request takes 1 to
+/// 4 ms or is lost.
 struct Zone {
-    struct Notice {
+    struct Announcement {
         TimePoint at;
         std::size_t vm;
     };
@@ -161,21 +162,23 @@
                 takeRoom(this->limits[vm], 1, this->now);
             } else if (!this->chance(0.03)) {
                 const auto delay = std::uniform_int_distribution<int>(1, 4)(this->random);
-                this->onTheirWay.push_back({this->now + milliseconds(delay), vm});
+                this->inFlight.push_back({this->now + milliseconds(delay), vm});
             }
         }
     }
 
-    /// @param demand requests a second of each VM
+    /// @param length simulated time
+    /// @param demand requests per second that each VM wants to send
     void run(Duration length, double demand)
     {
         for (const TimePoint end = this->now + length; this->now < end; this->now += milliseconds(1)) {
-            for (const Notice &notice : this->onTheirWay) {
-                if (notice.at <= this->now) {
-                    takeRoom(this->limits[notice.vm], 1, this->now);
+            for (const Announcement &announcement : this->inFlight) {
+                if (announcement.at <= this->now) {
+                    takeRoom(this->limits[announcement.vm], 1, this->now);
                 }
             }
-            std::erase_if(this->onTheirWay, [this](const Notice &notice) { return notice.at <= this->now; });
+            std::erase_if(this->inFlight,
+                          [this](const Announcement &announcement) { return announcement.at <= this->now; });
             for (std::size_t vm = 0; vm < this->limits.size(); ++vm) {
                 if (this->chance(demand / 1000) && hasRoom(this->limits[vm], this->now)) {
                     this->send(vm);
@@ -184,29 +187,30 @@
         }
     }
 
-    std::size_t mostInWindow(Duration window) const
+    std::size_t maxInWindow(Duration window) const
     {
-        std::size_t most = 0;
+        std::size_t maxArrivals = 0;
         for (std::size_t first = 0, last = 0; last < this->arrivals.size(); ++last) {
             while (this->arrivals[last] - this->arrivals[first] >= window) {
                 first += 1;
             }
-            most = std::max(most, last - first + 1);
+            maxArrivals = std::max(maxArrivals, last - first + 1);
         }
-        return most;
+        return maxArrivals;
     }
 
     std::mt19937_64 random;
     TimePoint now = start;
     std::vector<EndpointLimit> limits;
-    std::vector<Notice> onTheirWay;
+    std::vector<Announcement> inFlight;
     std::vector<TimePoint> arrivals;
 };
 
 } // namespace
 
-// The stated aim: in any four seconds no more than one and a half times what it takes, and five.
-Test(endpointlimit, vmsOfAZoneTogetherKeepWithinTheLimitAndUseIt)
+// Guards against VMs that together exceed the limit because each sees only part of the requests. Requirement: in any
+// four seconds at most 1.5 times the limit plus five requests.
+Test(endpointlimit, vmsOfAZoneTogetherKeepAndUseTheLimit)
 {
     constexpr Duration window = milliseconds(4000);
     for (const auto &[vmCount, rate] : {std::tuple {1U, 2.2}, std::tuple {2U, 3.4}, std::tuple {39U, 2.2},
@@ -215,13 +219,14 @@
             for (unsigned seed = 0; seed < 10; ++seed) {
                 Zone zone(seed, vmCount, rate);
                 zone.run(milliseconds(20000), demand);
-                const auto most = static_cast<double>(zone.mostInWindow(window));
+                const auto maxArrivals = static_cast<double>(zone.maxInWindow(window));
                 const double allowed = 1.5 * rate * 4 + 5;
-                cr_assert(most <= allowed, "%u VMs, %.1f a second, seed %u: %.0f", vmCount, rate, seed, most);
+                cr_assert(maxArrivals <= allowed, "%u VMs, %.1f a second, seed %u: %.0f", vmCount, rate, seed,
+                          maxArrivals);
                 const double wanted = std::min(rate, demand * vmCount) * 20;
-                const auto got = static_cast<double>(zone.arrivals.size());
-                cr_assert(got >= 0.6 * wanted - 2, "%u VMs, %.1f a second, seed %u: %.0f used", vmCount, rate, seed,
-                          got);
+                const auto sentCount = static_cast<double>(zone.arrivals.size());
+                cr_assert(sentCount >= 0.6 * wanted - 2, "%u VMs, %.1f a second, seed %u: %.0f sent", vmCount, rate,
+                          seed, sentCount);
             }
         }
     }
--- a/lacewing/testing/listknowledgetest.cpp
+++ b/lacewing/testing/listknowledgetest.cpp
@@ -1,5 +1,5 @@
-// What a VM may believe of its copy of the list, on a clock that the test moves: whatever is lost, late or told by two
-// owners at once, a VM that counts as up to date must have every change.
+// How current a VM may consider its copy of the list, on a simulated clock. Whatever is lost, late or announced by two
+// owners at once, a VM that considers itself up to date must know every change.
 
 #include <map>
 #include <random>
@@ -22,14 +22,14 @@
     return start + lacewing::milliseconds(milliseconds);
 }
 
-/// An endpoint comes to the list or is taken off it; its place among all changes is its offset.
+/// An endpoint is added to the list or removed from it. The index among all changes is the offset of the change.
 struct Change {
     TimePoint acknowledged;
     int endpoint = 0;
     bool listed = false;
 };
 
-/// What goes with a statement.
+/// Changes that go with an announcement.
 struct Difference {
     std::set<int> listed;
     std::set<int> removed;
@@ -44,9 +44,9 @@
     ListKnowledge knowledge;
     ListChain chain;
     bool owner = false;
-    std::set<int> copy; ///< of the list
-    Difference read; ///< that was not passed on yet
-    std::size_t next = 0; ///< offset that it reads from
+    std::set<int> copy; ///< endpoints in this VM's copy of the list
+    Difference read; ///< changes that were read and not announced yet
+    std::size_t next = 0; ///< offset of the next read
     TimePoint nextRead;
 };
 
@@ -57,7 +57,7 @@
     Difference difference;
 };
 
-/// VMs of one zone, their datagrams and reads, as EntryNode and TopicWatch drive them.
+/// VMs of one zone with their datagrams and reads, driven like EntryNode and TopicWatch do.
 struct Zone {
     explicit Zone(std::uint64_t seed) : random(seed), vms(5)
     {
@@ -71,8 +71,8 @@
     std::set<int> listAt(std::int64_t offset) const
     {
         std::set<int> list;
-        for (std::int64_t place = 0; place < offset; ++place) {
-            const Change &change = this->changes[static_cast<std::size_t>(place)];
+        for (std::int64_t index = 0; index < offset; ++index) {
+            const Change &change = this->changes[static_cast<std::size_t>(index)];
             if (change.listed) {
                 list.insert(change.endpoint);
             } else {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The newest record of each endpoint since the last read.
-    void readOn(ZoneVm &vm) const
+    /// Applies the newest record of each endpoint since the last read.
+    void readChanges(ZoneVm &vm) const
     {
         std::map<int, bool> newest;
         for (; vm.next < this->changes.size(); ++vm.next) {
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The history was dropped.
-    void listAfresh(ZoneVm &vm) const
+    /// Lists all endpoints anew because the store no longer has the history.
+    void relist(ZoneVm &vm) const
     {
         vm.next = this->changes.size();
         const std::set<int> list = this->listAt(static_cast<std::int64_t>(vm.next));
@@ -136,10 +136,10 @@
 
     void read(ZoneVm &vm)
     {
-        if (this->chance(this->dropped)) {
-            this->listAfresh(vm);
+        if (this->chance(this->historyLossRate)) {
+            this->relist(vm);
         } else {
-            this->readOn(vm);
+            this->readChanges(vm);
         }
         noteOwnRead(vm.knowledge, static_cast<std::int64_t>(vm.next), this->now);
         const Difference difference = std::exchange(vm.read, {});
@@ -153,9 +153,9 @@
         const auto sender = static_cast<std::size_t>(&from - this->vms.data());
         for (std::size_t to = 0; to < this->vms.size(); ++to) {
             for (int copy = 0; copy < (difference.empty() ? 1 : 3) && to != sender; ++copy) {
-                if (!this->chance(this->loss)) {
+                if (!this->chance(this->datagramLoss)) {
                     const auto delay = std::uniform_int_distribution<std::int64_t>(0, 400)(this->random);
-                    this->underWay.emplace(this->now + milliseconds(delay),
+                    this->inFlight.emplace(this->now + milliseconds(delay),
                                            Datagram {to, sender, statement, difference});
                 }
             }
@@ -176,22 +176,22 @@
         noteToldByOther(vm.chain, before, vm.knowledge);
     }
 
-    void turn()
+    void step()
     {
         this->now += milliseconds(10);
         if (this->chance(0.02)) {
             this->change();
         }
-        if (this->chance(0.004)) { // an owner comes, or one more, or one goes
+        if (this->chance(0.004)) { // a VM starts or stops being an owner; there may be several
             ZoneVm &vm = this->vms[this->random() % this->vms.size()];
             vm.owner = !vm.owner;
             if (vm.owner) {
                 beginChain(vm.chain, vm.knowledge);
             }
         }
-        while (!this->underWay.empty() && this->underWay.begin()->first <= this->now) {
-            this->receive(this->underWay.begin()->second);
-            this->underWay.erase(this->underWay.begin());
+        while (!this->inFlight.empty() && this->inFlight.begin()->first <= this->now) {
+            this->receive(this->inFlight.begin()->second);
+            this->inFlight.erase(this->inFlight.begin());
         }
         for (ZoneVm &vm : this->vms) {
             const bool covered = !vm.owner && isCovered(vm.knowledge, this->now);
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Each copy is the list at the offset that its VM claims to know, and as recent as it claims to be.
-    bool holds() const
+    /// Whether each copy equals the list at the offset that its VM claims to know and is as recent as it claims to be.
+    bool copiesAreConsistent() const
     {
         for (const ZoneVm &vm : this->vms) {
             if (vm.knowledge.offset == noOffset) {
@@ -231,16 +231,16 @@
     std::vector<ZoneVm> vms;
     std::vector<Change> changes;
     int nextEndpoint = 1;
-    std::multimap<TimePoint, Datagram> underWay;
+    std::multimap<TimePoint, Datagram> inFlight;
     TimePoint now = start;
-    double loss = 0.3;
+    double datagramLoss = 0.3;
     double failedReads = 0.1;
-    double dropped = 0.2; ///< share of reads that find the history dropped
+    double historyLossRate = 0.2; ///< share of reads that find the history dropped by the store
 };
 
 } // namespace
 
-Test(listknowledge, aChangeThatFollowsExtendsWhatIsKnown)
+Test(listknowledge, contiguousChangeExtendsTheKnownOffset)
 {
     ListKnowledge knowledge;
     noteOwnRead(knowledge, 10, at(0));
@@ -251,7 +251,7 @@
     cr_assert_not(isCovered(knowledge, at(900) + readValidity));
 }
 
-Test(listknowledge, aMissedChangeIsNotMadeUpForByLaterOnes)
+Test(listknowledge, missedChangeIsNotCoveredByLaterOnes)
 {
     ListKnowledge knowledge;
     noteOwnRead(knowledge, 10, at(0));
@@ -259,13 +259,13 @@
     noteStatement(knowledge, {30, 30, at(1000)}, "vm0");
     cr_assert_eq(knowledge.offset, 10);
     cr_assert_not(isCovered(knowledge, at(1000)));
-    noteStatement(knowledge, {10, 20, at(900)}, "vm0"); // a repeat of what was missed
+    noteStatement(knowledge, {10, 20, at(900)}, "vm0"); // a repetition of the missed announcement
     noteStatement(knowledge, {20, 30, at(900)}, "vm0");
     cr_assert_eq(knowledge.offset, 30);
     cr_assert_not(isCovered(knowledge, at(900) + readValidity));
 }
 
-Test(listknowledge, nobodyReliesOnAVmThatDoesNotSayFromWhereOn)
+Test(listknowledge, announcementWithoutPreviousOffsetDoesNotCover)
 {
     ListKnowledge knowledge;
     noteOwnRead(knowledge, 10, at(0));
@@ -275,7 +275,7 @@
     cr_assert_not(isCovered(knowledge, at(1000)));
 }
 
-Test(listknowledge, aNewOwnerCoversOnlyWhoKnowsAsMuchAsItself)
+Test(listknowledge, newOwnerCoversOnlyVmsThatKnowAsMuch)
 {
     ListKnowledge successor;
     ListKnowledge other;
@@ -290,31 +290,31 @@
     cr_assert(isCovered(other, at(410)));
 }
 
-Test(listknowledge, whoCountsAsUpToDateHasEveryChange)
+Test(listknowledge, copyHasEveryChangeUpToItsOffset)
 {
     constexpr std::uint64_t seeds = 60;
-    constexpr int turns = 4000; // 40 s
+    constexpr int steps = 4000; // 40 s
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Zone zone(seed);
-        for (int turn = 0; turn < turns; ++turn) {
-            zone.turn();
-            cr_assert(zone.holds(), "seed %llu, turn %d", static_cast<unsigned long long>(seed), turn);
+        for (int step = 0; step < steps; ++step) {
+            zone.step();
+            cr_assert(zone.copiesAreConsistent(), "seed %llu, step %d", static_cast<unsigned long long>(seed), step);
         }
     }
 }
 
-Test(listknowledge, aCopyIsNeverOlderThanAReadCountsAndOneMoreRead)
+Test(listknowledge, copyIsNeverOlderThanReadValidityAndOneRead)
 {
     constexpr std::uint64_t seeds = 20;
-    constexpr int turns = 4000;
+    constexpr int steps = 4000;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Zone zone(seed);
         zone.failedReads = 0;
-        for (int turn = 0; turn < turns; ++turn) {
-            zone.turn();
+        for (int step = 0; step < steps; ++step) {
+            zone.step();
             for (const ZoneVm &vm : zone.vms) {
-                cr_assert_leq(zone.now - vm.knowledge.current, readValidity + milliseconds(10), "seed %llu, turn %d",
-                              static_cast<unsigned long long>(seed), turn);
+                cr_assert_leq(zone.now - vm.knowledge.current, readValidity + milliseconds(10), "seed %llu, step %d",
+                              static_cast<unsigned long long>(seed), step);
             }
         }
     }
--- a/lacewing/testing/sharedfailurestest.cpp
+++ b/lacewing/testing/sharedfailurestest.cpp
@@ -1,4 +1,5 @@
-// Many VMs before endpoints that fail for all, for some, or for nobody but a cut: who goes on sending there.
+// Many VMs that use endpoints that fail for all VMs, for some of them, or only across a network partition: which VMs
+// keep sending requests there.
 
 #include "sharedfailures.h"
 
@@ -21,23 +22,23 @@
     return {"vm" + std::to_string(vm), zone, at};
 }
 
-/// 195 VMs in five zones before one service of 124 endpoints, on a clock of steps. What VMs tell each other takes a
-/// step or two, or is lost.
-struct World {
+/// Simulates 195 VMs in five zones that use one service of 124 endpoints, on a clock that advances in steps. An
+/// announcement takes one or two steps, or is lost.
+struct Simulation {
     static constexpr int vms = 195;
     static constexpr int zones = 5;
     static constexpr int endpoints = 124;
     static constexpr Duration step = milliseconds(2);
     static constexpr double requestsPerStep = 1.4; ///< 700 a second
 
-    struct Told {
+    struct Announcement {
         TimePoint at;
         int vm;
         int endpoint;
         bool works;
     };
 
-    explicit World(unsigned seed) : random(seed), known(vms, std::vector<SharedFailures>(endpoints))
+    explicit Simulation(unsigned seed) : random(seed), failuresByVm(vms, std::vector<SharedFailures>(endpoints))
     {
     }
 
@@ -56,7 +57,7 @@
         return std::uniform_real_distribution<double>(0, 1)(this->random) < share;
     }
 
-    int below(int count)
+    int randomBelow(int count)
     {
         return std::uniform_int_distribution<int>(0, count - 1)(this->random);
     }
@@ -64,28 +65,31 @@
     std::size_t shunnedBy(int vm) const
     {
         const auto shunned = [this](const SharedFailures &failures) { return isShunned(failures, this->now); };
-        return static_cast<std::size_t>(std::count_if(this->known[vm].begin(), this->known[vm].end(), shunned));
+        return static_cast<std::size_t>(
+            std::count_if(this->failuresByVm[vm].begin(), this->failuresByVm[vm].end(), shunned));
     }
 
-    void hear(int vm, const Told &news)
+    void receive(int vm, const Announcement &announcement)
     {
-        SharedFailures &failures = this->known[vm][news.endpoint];
-        if (news.works) {
+        SharedFailures &failures = this->failuresByVm[vm][announcement.endpoint];
+        if (announcement.works) {
             noteWorks(failures);
             return;
         }
-        noteReport(failures, reportOf(news.vm, this->zoneOfVm(news.vm), this->now));
+        noteReport(failures, reportOf(announcement.vm, this->zoneOfVm(announcement.vm), this->now));
         const bool more = isShunned(failures, this->now) || mayShunOneMore(this->shunnedBy(vm), endpoints);
-        if (more && isReportedFailing(failures, this->zoneOfEndpoint(news.endpoint), this->zoneOfVm(vm), this->now)) {
+        if (more
+            && isReportedFailing(failures, this->zoneOfEndpoint(announcement.endpoint), this->zoneOfVm(vm),
+                                 this->now)) {
             failures.shunnedUntil = this->now + shunningTime(this->random());
         }
     }
 
     void request()
     {
-        const int vm = this->below(vms);
-        const int endpoint = this->below(endpoints);
-        SharedFailures &failures = this->known[vm][endpoint];
+        const int vm = this->randomBelow(vms);
+        const int endpoint = this->randomBelow(endpoints);
+        SharedFailures &failures = this->failuresByVm[vm][endpoint];
         if (isShunned(failures, this->now)) {
             this->avoided += 1;
             return;
@@ -93,8 +97,8 @@
         const bool fails = this->chance(this->failing(vm, endpoint));
         this->failed += fails ? 1 : 0;
         if (fails ? shouldReport(failures, this->now) : shouldVouch(failures, this->now)) {
-            this->statements += 1;
-            this->told.push_back({this->now + step, vm, endpoint, !fails});
+            this->announcementCount += 1;
+            this->announcements.push_back({this->now + step, vm, endpoint, !fails});
         }
     }
 
@@ -103,12 +107,12 @@
         const TimePoint end = this->now + length;
         while (this->now < end) {
             this->now += step;
-            std::vector<Told> due;
-            std::swap(due, this->told);
-            for (const Told &one : due) {
+            std::vector<Announcement> due;
+            std::swap(due, this->announcements);
+            for (const Announcement &one : due) {
                 for (int vm = 0; vm < vms; ++vm) {
-                    if (vm == one.vm || (!this->chance(this->loss) && !this->isCut(one.vm, vm))) {
-                        this->hear(vm, one);
+                    if (vm == one.vm || (!this->chance(this->loss) && !this->isPartitioned(one.vm, vm))) {
+                        this->receive(vm, one);
                     }
                 }
             }
@@ -119,27 +123,27 @@
         }
     }
 
-    bool isCut(int one, int other) const
+    bool isPartitioned(int one, int other) const
     {
-        return this->cut && (one % zones == 0) != (other % zones == 0)
-            && (one % zones == 1 || other % zones == 1); // between zones 0 and 1 only
+        return this->partitioned && (one % zones == 0) != (other % zones == 0)
+            && (one % zones == 1 || other % zones == 1); // only between zones 0 and 1
     }
 
     std::mt19937 random;
-    std::vector<std::vector<SharedFailures>> known;
-    std::vector<Told> told;
+    std::vector<std::vector<SharedFailures>> failuresByVm;
+    std::vector<Announcement> announcements;
     std::function<double(int vm, int endpoint)> failing = [](int, int) { return 0.0; };
     double loss = 0.05;
-    bool cut = false;
+    bool partitioned = false;
     TimePoint now = start;
     int failed = 0;
     int avoided = 0;
-    int statements = 0;
+    int announcementCount = 0;
 };
 
 } // namespace
 
-Test(sharedfailures, threeVmsAreNeededAndOneOfThemNear)
+Test(sharedfailures, threeReportersAreNeededOneOfThemNear)
 {
     SharedFailures failures;
     noteReport(failures, reportOf(1, "a", start));
@@ -147,7 +151,8 @@
     noteReport(failures, reportOf(2, "a", start + milliseconds(100)));
     cr_assert_not(isReportedFailing(failures, "e", "own", start + milliseconds(100)), "two VMs");
     noteReport(failures, reportOf(3, "a", start + milliseconds(100)));
-    cr_assert_not(isReportedFailing(failures, "e", "own", start + milliseconds(100)), "all behind the same cut");
+    cr_assert_not(isReportedFailing(failures, "e", "own", start + milliseconds(100)),
+                  "all on the same side of a partition");
     cr_assert(isReportedFailing(failures, "a", "own", start + milliseconds(100)));
     cr_assert(isReportedFailing(failures, "e", "a", start + milliseconds(100)));
     cr_assert_not(isReportedFailing(failures, "a", "own", start + milliseconds(100) + reportWindow), "too old");
@@ -155,7 +160,7 @@
     cr_assert_not(isReportedFailing(failures, "a", "own", start + milliseconds(100)));
 }
 
-Test(sharedfailures, halfOfAServiceAtMostIsShunned)
+Test(sharedfailures, atMostHalfOfAServiceIsShunned)
 {
     cr_assert(mayShunOneMore(0, 2));
     cr_assert_not(mayShunOneMore(1, 2));
@@ -164,21 +169,22 @@
     cr_assert_not(mayShunOneMore(62, 124));
 }
 
-Test(sharedfailures, whereAThirdOfTheEndpointsFailsFewRequestsAreLost)
+Test(sharedfailures, fewRequestsAreLostIfManyEndpointsFail)
 {
     constexpr int failing = 31;
     for (unsigned seed = 1; seed <= 10; ++seed) {
-        World world(seed);
-        world.run(milliseconds(1000));
-        world.failing = [](int, int endpoint) { return endpoint < failing ? 1.0 : 0.0; };
-        world.run(milliseconds(4000));
-        // Each VM by itself would lose one request and more at each: 700 requests in these four seconds.
-        cr_assert_leq(world.failed, 8 * failing, "seed %u: %d", seed, world.failed);
-        cr_assert_leq(world.statements, 8 * failing, "seed %u: %d", seed, world.statements);
-        world.failing = [](int, int) { return 0.0; };
-        world.run(shortestShunning + shunningSpread);
-        for (int vm = 0; vm < World::vms; ++vm) {
-            cr_assert_eq(world.shunnedBy(vm), 0U, "seed %u", seed);
+        Simulation simulation(seed);
+        simulation.run(milliseconds(1000));
+        simulation.failing = [](int, int endpoint) { return endpoint < failing ? 1.0 : 0.0; };
+        simulation.run(milliseconds(4000));
+        // Without the reports each VM would lose one request or more at each endpoint: 700 requests in these four
+        // seconds.
+        cr_assert_leq(simulation.failed, 8 * failing, "seed %u: %d", seed, simulation.failed);
+        cr_assert_leq(simulation.announcementCount, 8 * failing, "seed %u: %d", seed, simulation.announcementCount);
+        simulation.failing = [](int, int) { return 0.0; };
+        simulation.run(minShunTime + shunTimeSpread);
+        for (int vm = 0; vm < Simulation::vms; ++vm) {
+            cr_assert_eq(simulation.shunnedBy(vm), 0U, "seed %u", seed);
         }
     }
 }
@@ -186,33 +192,33 @@
 Test(sharedfailures, endpointsWhereSomeRequestsFailStayInUse)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
-        World world(seed);
-        world.failing = [](int, int) { return 0.05; };
-        world.run(milliseconds(6000));
-        // Three failures in a row, as many VMs, happen now and then, and a success takes them back.
-        cr_assert_leq(world.avoided, 42, "seed %u: %d of 4,200", seed, world.avoided);
+        Simulation simulation(seed);
+        simulation.failing = [](int, int) { return 0.05; };
+        simulation.run(milliseconds(6000));
+        // Three failures in a row on three VMs happen occasionally; a success clears them.
+        cr_assert_leq(simulation.avoided, 42, "seed %u: %d of 4,200", seed, simulation.avoided);
     }
 }
 
-Test(sharedfailures, oneVmThatFailsEverywhereTakesNothingOutOfUse)
+Test(sharedfailures, faultyVmsCauseNoShunning)
 {
-    World world(1);
-    world.failing = [](int vm, int) { return vm == 7 || vm == 8 ? 1.0 : 0.0; };
-    world.run(milliseconds(6000));
-    cr_assert_eq(world.avoided, 0);
+    Simulation simulation(1);
+    simulation.failing = [](int vm, int) { return vm == 7 || vm == 8 ? 1.0 : 0.0; };
+    simulation.run(milliseconds(6000));
+    cr_assert_eq(simulation.avoided, 0);
 }
 
-Test(sharedfailures, aCutBetweenTwoZonesTakesNothingOutOfUseInTheOthers)
+Test(sharedfailures, partitionOfTwoZonesCausesNoShunningInOthers)
 {
-    World world(1);
-    world.cut = true;
-    world.failing = [](int vm, int endpoint) {
-        const int vmZone = vm % World::zones;
-        const int endpointZone = endpoint % World::zones;
+    Simulation simulation(1);
+    simulation.partitioned = true;
+    simulation.failing = [](int vm, int endpoint) {
+        const int vmZone = vm % Simulation::zones;
+        const int endpointZone = endpoint % Simulation::zones;
         return vmZone != endpointZone && vmZone <= 1 && endpointZone <= 1 ? 1.0 : 0.0;
     };
-    world.run(milliseconds(3000));
-    for (int vm = 2; vm < World::vms; vm += World::zones) { // zone 2 reaches all
-        cr_assert_eq(world.shunnedBy(vm), 0U);
+    simulation.run(milliseconds(3000));
+    for (int vm = 2; vm < Simulation::vms; vm += Simulation::zones) { // zone 2 reaches all zones
+        cr_assert_eq(simulation.shunnedBy(vm), 0U);
     }
 }
