--- a/lacewing/adapterplan.cpp
+++ b/lacewing/adapterplan.cpp
@@ -1,10 +1,9 @@
-// Each call plans from the state alone and gives an endpoint one order at most: orders name the number of
-// orders that the endpoint has accepted, so the next one waits for the answer to the last. That also makes an
-// order harmless that is carried out late: by then the number differs.
+// Each call plans from the state alone and gives an endpoint at most one order. An order carries the number of orders
+// that the endpoint has accepted, so the next order waits for the answer to the previous one. The number also makes a
+// delayed order harmless, because by then it no longer matches.
 //
-// What all endpoints hold is summed up by weights once for each plan, and what an endpoint could unload is looked for
-// once: with 20 endpoints and 300 weights that callers wait for, a plan took 3 ms when each want asked each endpoint
-// again.
+// The copies of all weights and each endpoint's eviction victim are computed once per plan. With 20 endpoints and 300
+// requested weights a plan took 3 ms when they were computed again for each load.
 
 #include "adapterplan.h"
 
@@ -35,11 +34,11 @@
     return order;
 }
 
-/// @param places that it has, one at least
-/// @return share of the endpoint's places that requests use or loads have taken
+/// @param places number of adapter places of the endpoint, at least 1
+/// @return share of these places that requests use or loads have taken
 double shareInUse(const PlacedEndpoint &endpoint, std::size_t places)
 {
-    std::size_t taken = endpoint.coming.size();
+    std::size_t taken = endpoint.loading.size();
     for (const auto &[weights, held] : endpoint.held) {
         taken += isAdapter(weights) && held.running > 0 ? 1 : 0;
     }
@@ -52,75 +51,76 @@
 public:
     Planner(const PlacementState &placement, TimePoint time) : state(placement), now(time)
     {
-        std::size_t coming = 0;
+        std::size_t loading = 0;
         for (const auto &[id, endpoint] : placement.endpoints) {
-            coming += endpoint.coming.size();
-            this->sumUp(endpoint);
-            this->freeEndpoints += this->free(id, endpoint) ? 1 : 0;
+            loading += endpoint.loading.size();
+            this->summarize(endpoint);
+            this->availableEndpoints += this->isAvailable(id, endpoint) ? 1 : 0;
         }
-        const auto most = std::max(1.0, std::ceil(comingPerEndpoint * static_cast<double>(placement.endpoints.size())));
-        this->loadsLeft = static_cast<std::ptrdiff_t>(most) - static_cast<std::ptrdiff_t>(coming);
+        const auto maxLoads
+            = std::max(1.0, std::ceil(zoneLoadsPerEndpoint * static_cast<double>(placement.endpoints.size())));
+        this->remainingLoads = static_cast<std::ptrdiff_t>(maxLoads) - static_cast<std::ptrdiff_t>(loading);
     }
 
     std::vector<PlacementOrder> plan()
     {
         this->planModels();
         this->planVersions();
-        this->planWanted();
+        this->planDemand();
         return std::move(this->orders);
     }
 
 private:
-    /// Where some weights are, over all endpoints.
-    struct Spread {
-        std::size_t copies = 0; ///< endpoints that hold them or to which they are coming
-        bool coming = false;
-        std::int32_t newest = -1; ///< version on an endpoint that is ready
-        std::int32_t oldest = -1; ///< version on any endpoint
+    /// Copies of some weights on all endpoints.
+    struct CopySummary {
+        std::size_t copies = 0; ///< endpoints on which the weights are resident or loading
+        bool loading = false;
+        std::int32_t newest = -1; ///< newest version on a ready endpoint; -1: none
+        std::int32_t oldest = -1; ///< oldest version on any endpoint; -1: none
     };
 
-    void sumUp(const PlacedEndpoint &endpoint)
+    void summarize(const PlacedEndpoint &endpoint)
     {
         for (const auto &[weights, held] : endpoint.held) {
-            Spread &spread = this->spreads[weights];
-            spread.copies += 1;
-            spread.newest = endpoint.ready ? std::max(spread.newest, held.version) : spread.newest;
-            spread.oldest = spread.oldest < 0 ? held.version : std::min(spread.oldest, held.version);
+            CopySummary &summary = this->summaries[weights];
+            summary.copies += 1;
+            summary.newest = endpoint.ready ? std::max(summary.newest, held.version) : summary.newest;
+            summary.oldest = summary.oldest < 0 ? held.version : std::min(summary.oldest, held.version);
         }
-        for (const auto &[weights, coming] : endpoint.coming) {
-            Spread &spread = this->spreads[weights];
-            spread.copies += endpoint.held.contains(weights) ? 0 : 1;
-            spread.coming = true;
+        for (const auto &[weights, loading] : endpoint.loading) {
+            CopySummary &summary = this->summaries[weights];
+            summary.copies += endpoint.held.contains(weights) ? 0 : 1;
+            summary.loading = true;
         }
     }
 
-    Spread spreadOf(std::string_view weights) const
+    CopySummary summaryOf(std::string_view weights) const
     {
-        const auto found = this->spreads.find(weights);
-        return found == this->spreads.end() ? Spread {} : found->second;
+        const auto found = this->summaries.find(weights);
+        return found == this->summaries.end() ? CopySummary {} : found->second;
     }
 
-    bool free(const EndpointName &id, const PlacedEndpoint &endpoint) const
+    bool isAvailable(const EndpointName &id, const PlacedEndpoint &endpoint) const
     {
-        return endpoint.ready && !endpoint.orderOpen && !endpoint.busy && this->now >= endpoint.notBefore
-            && !this->ordered.contains(id);
+        return endpoint.ready && !endpoint.orderPending && !endpoint.busy && this->now >= endpoint.notBefore
+            && !this->orderedEndpoints.contains(id);
     }
 
     void add(PlacementOrder order)
     {
-        this->freeEndpoints -= 1;
-        this->ordered.insert(order.endpoint);
+        this->availableEndpoints -= 1;
+        this->orderedEndpoints.insert(order.endpoint);
         this->orders.push_back(std::move(order));
     }
 
     void planModels()
     {
-        double left = this->state.modelLoads;
+        double left = this->state.modelLoadTokens;
         for (const auto &[id, endpoint] : this->state.endpoints) {
             const auto engine = this->state.engines.find(endpoint.service);
-            const bool empty = endpoint.held.empty() && endpoint.coming.empty();
+            const bool empty = endpoint.held.empty() && endpoint.loading.empty();
             if (!empty || left < 1 || engine == this->state.engines.end() || engine->second.models.empty()
-                || !this->free(id, endpoint)) {
+                || !this->isAvailable(id, endpoint)) {
                 continue;
             }
             left -= 1;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The model that fewest endpoints hold, so that each is held somewhere.
+    /// Returns the model with the fewest copies, so that each model is placed somewhere.
     std::string rarestModel(const EngineSpec &engine) const
     {
         std::string rarest = engine.models.front().name;
@@ -144,67 +144,67 @@
 
     std::size_t copies(const std::string &weights) const
     {
-        return this->spreadOf(weights).copies;
+        return this->summaryOf(weights).copies;
     }
 
-    bool heldNewest(const std::string &weights, std::int32_t version) const
+    bool hasNewest(const std::string &weights, std::int32_t version) const
     {
-        const std::int32_t newest = this->spreadOf(weights).newest;
+        const std::int32_t newest = this->summaryOf(weights).newest;
         return newest >= 0 && newest >= version;
     }
 
-    bool isComing(const std::string &weights) const
+    bool isLoading(const std::string &weights) const
     {
-        return this->spreadOf(weights).coming;
+        return this->summaryOf(weights).loading;
     }
 
-    /// An idle copy of an old version is replaced where it is; one in use is left to its runs, and the new
-    /// version goes to another endpoint. A copy that is left over is unloaded when it is idle.
+    /// An idle copy of an old version is replaced in place. A copy in use stays until its requests have ended, and the
+    /// new version is loaded on another endpoint. The old copy is unloaded once it is idle.
     void planVersions()
     {
-        for (const auto &[weights, named] : this->state.versions) {
-            const std::int32_t oldest = this->spreadOf(weights).oldest;
-            if (oldest < 0 || oldest >= named.version) {
+        for (const auto &[weights, published] : this->state.versions) {
+            const std::int32_t oldest = this->summaryOf(weights).oldest;
+            if (oldest < 0 || oldest >= published.version) {
                 continue;
             }
             for (const auto &[id, endpoint] : this->state.endpoints) {
                 const auto held = endpoint.held.find(weights);
-                if (held == endpoint.held.end() || held->second.version >= named.version) {
+                if (held == endpoint.held.end() || held->second.version >= published.version) {
                     continue;
                 }
-                const bool newestHere = this->heldNewest(weights, named.version);
-                if (!newestHere && !this->isComing(weights)) {
+                const bool newestHere = this->hasNewest(weights, published.version);
+                if (!newestHere && !this->isLoading(weights)) {
                     this->wants.push_back({.weights = weights, .urgency = 0.9 + held->second.running});
                 }
-                if (newestHere && held->second.running == 0 && this->free(id, endpoint)) {
+                if (newestHere && held->second.running == 0 && this->isAvailable(id, endpoint)) {
                     this->add(makeOrder(PlacementAction::Unload, id, endpoint, weights, 0));
                 }
             }
         }
     }
 
-    void planWanted()
+    void planDemand()
     {
-        for (const auto &[weights, wanted] : this->state.wanted) {
+        for (const auto &[weights, demand] : this->state.demand) {
             const std::int32_t version = newestVersion(this->state.versions, weights);
-            if (wanted.waiting > 0 && !this->heldNewest(weights, version) && !this->isComing(weights)) {
-                this->wants.push_back({weights, static_cast<double>(wanted.waiting), wanted.rank, wanted.since});
-            } else if (wanted.remote >= remoteStreamsForCopy && this->copies(weights) == 0) {
+            if (demand.waiting > 0 && !this->hasNewest(weights, version) && !this->isLoading(weights)) {
+                this->wants.push_back({weights, static_cast<double>(demand.waiting), demand.rank, demand.since});
+            } else if (demand.remote >= remoteStreamsForCopy && this->copies(weights) == 0) {
                 this->wants.push_back({.weights = weights, .urgency = 0.5});
             }
         }
-        this->wantCopies();
+        this->addCopyWants();
         std::stable_sort(this->wants.begin(), this->wants.end(), goesBefore);
         for (const Want &want : this->wants) {
-            if (this->loadsLeft <= 0 || this->freeEndpoints <= 0) {
+            if (this->remainingLoads <= 0 || this->availableEndpoints <= 0) {
                 return;
             }
-            this->place(want);
+            this->planLoad(want);
         }
     }
 
-    /// A further copy for an adapter that fills a large part of the endpoints that hold it.
-    void wantCopies()
+    /// Adds an extra copy of each adapter whose requests use a large share of their endpoints' slots.
+    void addCopyWants()
     {
         struct Use {
             double running = 0;
@@ -220,13 +220,13 @@
             }
         }
         for (const auto &[weights, use] : uses) {
-            const auto wanted = this->state.wanted.find(weights);
-            const bool awaited = wanted != this->state.wanted.end() && wanted->second.waiting > 0;
-            const double load = use.running + (awaited ? wanted->second.waiting : 0);
-            if (load > copyLoadShare * use.slots && !this->isComing(weights)) {
+            const auto demand = this->state.demand.find(weights);
+            const bool awaited = demand != this->state.demand.end() && demand->second.waiting > 0;
+            const double load = use.running + (awaited ? demand->second.waiting : 0);
+            if (load > copyLoadShare * use.slots && !this->isLoading(weights)) {
                 this->wants.push_back({.weights = weights,
                                        .urgency = std::max(0.4, load - urgentCopyShare * use.slots),
-                                       .rank = awaited ? wanted->second.rank : rankOfUnawaited});
+                                       .rank = awaited ? demand->second.rank : rankOfUnawaited});
             }
         }
     }
@@ -236,13 +236,13 @@
         TimePoint lastUsed;
     };
 
-    /// The idle adapter that was unused for longest.
-    Victim victimOf(const PlacedEndpoint &endpoint, Duration leastIdle) const
+    /// Returns the least recently used idle adapter that no request waits for.
+    Victim selectVictim(const PlacedEndpoint &endpoint, Duration minIdle) const
     {
         Victim victim;
         for (const auto &[weights, held] : endpoint.held) {
             if (!isAdapter(weights) || held.running > 0 || isAwaited(this->state, weights)
-                || this->now - held.lastUsed < leastIdle) {
+                || this->now - held.lastUsed < minIdle) {
                 continue;
             }
             if (victim.weights.empty() || held.lastUsed < victim.lastUsed) {
@@ -252,19 +252,19 @@
         return victim;
     }
 
-    /// @param forCopy only an adapter that was idle for some while
+    /// @param forCopy only consider adapters that have been idle for minIdleForCopy
     /// @return the adapter to unload, empty if there is none
-    const std::string &victimAt(const EndpointName &id, const PlacedEndpoint &endpoint, bool forCopy)
+    const std::string &cachedVictim(const EndpointName &id, const PlacedEndpoint &endpoint, bool forCopy)
     {
         auto &known = forCopy ? this->victimsForCopies : this->victims;
         const auto [found, isNew] = known.try_emplace(id);
         if (isNew) {
-            found->second = this->victimOf(endpoint, forCopy ? idleForCopy : Duration {0}).weights;
+            found->second = this->selectVictim(endpoint, forCopy ? minIdleForCopy : Duration {0}).weights;
         }
         return found->second;
     }
 
-    /// Endpoints in the order in which they are homes of the weights.
+    /// Returns the ready endpoints by descending home rank for the weights.
     std::vector<std::pair<std::uint64_t, EndpointName>> homesOf(const std::string &weights) const
     {
         std::vector<std::pair<std::uint64_t, EndpointName>> homes;
@@ -277,31 +277,31 @@
         return homes;
     }
 
-    /// Whether the endpoint may take another adapter now, but for the place it needs.
-    bool canTake(const Want &want, const EndpointName &id, const PlacedEndpoint &endpoint, std::int32_t version) const
+    /// Returns whether the endpoint can load the adapter now, apart from having a place for it.
+    bool canLoad(const Want &want, const EndpointName &id, const PlacedEndpoint &endpoint, std::int32_t version) const
     {
         const std::string model = modelOf(want.weights);
-        if (!this->free(id, endpoint) || endpoint.coming.size() >= mostComingPerEndpoint
-            || !endpoint.held.contains(model) || endpoint.coming.contains(want.weights)) {
+        if (!this->isAvailable(id, endpoint) || endpoint.loading.size() >= maxLoadsPerEndpoint
+            || !endpoint.held.contains(model) || endpoint.loading.contains(want.weights)) {
             return false;
         }
         const auto held = endpoint.held.find(want.weights);
         const bool replaces = held != endpoint.held.end();
-        // A copy in use is never replaced: its runs would hold the new one up.
+        // A copy in use is never replaced: the load would wait for the running requests to end.
         return !replaces || (held->second.running == 0 && held->second.version < version);
     }
 
-    /// Whether there is a place for another adapter, or one that can be made.
+    /// Returns whether the endpoint has a free place for an adapter or can make one.
     bool hasRoom(const EndpointName &id, const PlacedEndpoint &endpoint)
     {
         const std::size_t places = adapterPlaces(this->state, endpoint);
-        return places > 0 && (adaptersPlaced(endpoint) < places || !this->victimAt(id, endpoint, false).empty());
+        return places > 0 && (adaptersPlaced(endpoint) < places || !this->cachedVictim(id, endpoint, false).empty());
     }
 
-    /// Whether endpoints that remember the weights can't take them now, but are worth waiting for.
-    bool waitsForRemembered(const Want &want, std::int32_t version)
+    /// Returns whether to wait for an endpoint that has the weights in host memory but can't load them now.
+    bool shouldWaitForRemembered(const Want &want, std::int32_t version)
     {
-        if (this->now - want.since > waitForRemembered) {
+        if (this->now - want.since > maxWaitForRemembered) {
             return false;
         }
         bool remembered = false;
@@ -309,7 +309,7 @@
             if (!endpoint.ready || findRemembered(endpoint.heldBefore, want.weights, version) == nullptr) {
                 continue;
             }
-            if (this->free(id, endpoint) && this->hasRoom(id, endpoint)) {
+            if (this->isAvailable(id, endpoint) && this->hasRoom(id, endpoint)) {
                 return false;
             }
             remembered = true;
@@ -317,13 +317,13 @@
         return remembered;
     }
 
-    void place(const Want &want)
+    void planLoad(const Want &want)
     {
-        if (this->placed.contains(want.weights)) { // wanted for two reasons
+        if (this->plannedWeights.contains(want.weights)) { // there is a second reason to load these weights
             return;
         }
         const std::int32_t version = newestVersion(this->state.versions, want.weights);
-        if (this->waitsForRemembered(want, version)) {
+        if (this->shouldWaitForRemembered(want, version)) {
             return;
         }
         const PlacedEndpoint *best = nullptr;
@@ -333,13 +333,13 @@
         for (const auto &[rank, id] : this->homesOf(want.weights)) {
             const PlacedEndpoint &endpoint = this->state.endpoints.at(id);
             const std::size_t places = adapterPlaces(this->state, endpoint);
-            if (places == 0 || !this->canTake(want, id, endpoint, version)) {
+            if (places == 0 || !this->canLoad(want, id, endpoint, version)) {
                 continue;
             }
             std::string victim;
             const bool replaces = endpoint.held.contains(want.weights);
             if (!replaces && adaptersPlaced(endpoint) >= places) {
-                victim = this->victimAt(id, endpoint, want.urgency < 0.9);
+                victim = this->cachedVictim(id, endpoint, want.urgency < 0.9);
                 if (victim.empty()) {
                     continue;
                 }
@@ -359,8 +359,8 @@
         if (best == nullptr) {
             return;
         }
-        this->loadsLeft -= 1;
-        this->placed.insert(want.weights);
+        this->remainingLoads -= 1;
+        this->plannedWeights.insert(want.weights);
         if (!bestVictim.empty()) {
             this->add(makeOrder(PlacementAction::Unload, bestId, *best, bestVictim, 0));
             return;
@@ -370,14 +370,14 @@
 
     const PlacementState &state;
     TimePoint now;
-    std::ptrdiff_t loadsLeft = 0;
-    std::ptrdiff_t freeEndpoints = 0;
-    std::unordered_map<std::string_view, Spread> spreads; ///< keys belong to the state
+    std::ptrdiff_t remainingLoads = 0;
+    std::ptrdiff_t availableEndpoints = 0;
+    std::unordered_map<std::string_view, CopySummary> summaries; ///< the keys are strings owned by the state
     std::unordered_map<EndpointName, std::string> victims;
     std::unordered_map<EndpointName, std::string> victimsForCopies;
     std::vector<Want> wants;
-    std::set<EndpointName> ordered;
-    std::set<std::string> placed; ///< weights that an order of this plan is for
+    std::set<EndpointName> orderedEndpoints;
+    std::set<std::string> plannedWeights; ///< weights that this plan orders
     std::vector<PlacementOrder> orders;
 };
 
--- a/lacewing/adapterplan.h
+++ b/lacewing/adapterplan.h
@@ -1,13 +1,16 @@
-// What the placement owner of a zone orders its endpoints to load and unload.
+// Plans which weights (models and adapters) the placement owner of a zone loads and unloads on the zone's endpoints.
 //
-//   for (const PlacementOrder &order : planOrders(state, now)) send it, and note it with noteOrdered()
+//   for (const PlacementOrder &order : planOrders(state, now)) {
+//       send the order; recordOrder(state, order, now);
+//   }
 //
-// Load pattern: very many adapters of which a few are popular, a few places for them on each endpoint, and a weight
-// store that slows down when many are fetched at once. Loads that callers wait for go first, the most urgent of them
-// first; the number in transit is bounded; a place is made by unloading the adapter that was unused for longest, and
-// never one that a request is using. An adapter goes to an endpoint that remembers it, and else to the one with the
-// smallest share of its places in use: there its next load finds a place. Popular adapters get further copies where one
-// copy would fill an endpoint, or where many streams come from another zone.
+// Load pattern: a large number of adapters of which a few are popular, a few adapter places on each endpoint, and a
+// weight store that slows down when many adapters are fetched at once. Loads that requests wait for go first, the most
+// urgent first, and the number of loads in flight is bounded. A place is made by unloading the least recently used idle
+// adapter, never one that a request is using. An adapter is loaded on an endpoint that has it in its host memory;
+// without one, on the endpoint with the smallest share of its places in use, because that endpoint has a free place for
+// its next load. Popular adapters get extra copies when they use a large share of their endpoints' slots, or when many
+// of this zone's streams run on them in another zone.
 
 #pragma once
 
@@ -23,70 +26,72 @@
 
 namespace lacewing {
 
-/// Adapters in transit to one endpoint; endpoints of the first deployments take four.
-constexpr std::size_t mostComingPerEndpoint = 4;
-/// Adapters in transit over all endpoints, per endpoint: the weight store of the first deployments serves 8 for
-/// 9 endpoints and 48 for 60 at full speed, and slows down in proportion beyond.
-constexpr double comingPerEndpoint = 0.85;
-/// A further copy is made when the copies of an adapter run more than this share of their endpoints' slots.
+/// Maximum number of loads in flight on one endpoint; endpoints of the first deployments accept four.
+constexpr std::size_t maxLoadsPerEndpoint = 4;
+/// Maximum number of loads in flight in the zone, per endpoint of the zone. The weight store of the first deployments
+/// serves 8 loads for 9 endpoints, or 48 for 60, at full speed; with more, it slows down in proportion.
+constexpr double zoneLoadsPerEndpoint = 0.85;
+/// An adapter gets an extra copy when its requests exceed this share of the slots of the endpoints that hold it.
 constexpr double copyLoadShare = 0.2;
-/// From this share of the slots on a further copy goes before loads that few callers wait for.
+/// From this share of the slots on, the extra copy is ordered before loads that few requests wait for.
 constexpr double urgentCopyShare = 0.5;
-/// Streams of this zone that run on an adapter in another zone before it gets a copy here: about two requests a
-/// second, whose bytes between zones then cost more than the load.
+/// An adapter gets a copy in this zone when this many of the zone's streams run on it in another zone. That is about
+/// two requests a second, whose traffic between zones costs more than the load.
 constexpr std::int32_t remoteStreamsForCopy = 4;
-/// An adapter that was unused for less than this is not unloaded for a further copy of another one.
-constexpr Duration idleForCopy = milliseconds(4000);
-/// Load, as a share of slots, for which an endpoint that has to fetch an adapter from the weight store counts as busier
-/// than one that remembers it: any other difference is less than a fetch of a quarter of a second.
+/// An adapter that was used within this time is not unloaded to make room for an extra copy of another adapter.
+constexpr Duration minIdleForCopy = milliseconds(4000);
+/// Cost of a fetch from the weight store, in the unit of the share of places in use (0 to 1). A fetch takes a quarter
+/// of a second, which is more than any other difference between endpoints costs.
 constexpr double fetchCost = 1.0;
-/// How long a caller waits for a place at an endpoint that remembers the adapter before it is fetched elsewhere.
-constexpr Duration waitForRemembered = milliseconds(300);
-/// Loads of models that may begin at once, and share of the allowed rate that one zone's owner uses of what
-/// falls to it: owners count apart, and a load that a former owner began counts too.
+/// How long a request waits for a place on an endpoint that has the adapter in host memory before another endpoint
+/// fetches the adapter.
+constexpr Duration maxWaitForRemembered = milliseconds(300);
+/// Share of its part of the allowed rate of model loads that one zone's owner uses. It is less than 1 because the
+/// owners of the zones count separately, and because loads started by a previous owner count too. Also determines the
+/// size of the token bucket.
 constexpr double modelLoadShare = 0.8;
 
 struct PlacedAdapter {
     std::int32_t version = 0;
     TimePoint lastUsed;
-    std::int32_t running = 0; ///< requests of all VMs
+    std::int32_t running = 0; ///< running requests of all VMs
 };
 
-struct ComingAdapter {
+struct LoadingAdapter {
     std::int32_t version = 0;
     TimePoint since;
 };
 
 struct PlacedEndpoint {
     ServiceName service;
-    std::int64_t born = 0; ///< start of its incarnation
+    std::int64_t incarnationStart = 0;
     std::string address;
     std::int32_t slots = 1;
-    bool ready = false; ///< listed as ready, and its report was read
-    bool shunned = false; ///< it fails for other VMs, or has named a limit
-    bool orderOpen = false; ///< an order to it has no answer yet
-    bool busy = false; ///< it is carrying out an order that stops others
-    std::int64_t orders = 0; ///< accepted by it so far; the next order names this number
-    std::map<std::string, PlacedAdapter> held; ///< models and MODEL/ADAPTER
-    std::map<std::string, ComingAdapter> coming;
-    HeldBefore heldBefore; ///< loads again fast
-    TimePoint notBefore; ///< no order before this time
+    bool ready = false; ///< listed as ready, and its report has been read
+    bool shunned = false; ///< failing for other VMs, or has reported a limit
+    bool orderPending = false; ///< an order has not been answered yet
+    bool busy = false; ///< executing an order that blocks others
+    std::int64_t orders = 0; ///< number of orders accepted; sent as expectedOrders of the next order
+    std::map<std::string, PlacedAdapter> held; ///< resident weights: MODEL or MODEL/ADAPTER
+    std::map<std::string, LoadingAdapter> loading;
+    HeldBefore heldBefore; ///< unloaded adapters that are still in host memory, from where loads are fast
+    TimePoint notBefore; ///< time before which no order is sent
     std::int32_t running = 0;
 };
 
-struct WantedWeights {
-    std::int32_t waiting = 0; ///< requests that wait for it
-    std::int32_t remote = 0; ///< streams of this zone that run on it in another zone
-    TimePoint since; ///< when the oldest of them began to wait
-    std::int32_t rank = 0; ///< of the most urgent of them; 0 is the most urgent
+struct WeightsDemand {
+    std::int32_t waiting = 0; ///< requests that wait for the weights
+    std::int32_t remote = 0; ///< streams of this zone that run on the weights in another zone
+    TimePoint since; ///< when the oldest waiting request began to wait
+    std::int32_t rank = 0; ///< rank of the most urgent waiting request; 0 is the most urgent
 };
 
 struct PlacementState {
-    std::map<EndpointName, PlacedEndpoint> endpoints; ///< of this zone
-    std::map<std::string, WantedWeights> wanted;
+    std::map<EndpointName, PlacedEndpoint> endpoints; ///< endpoints of this zone
+    std::map<std::string, WeightsDemand> demand; ///< by weights
     AdapterVersions versions;
     std::map<ServiceName, EngineSpec> engines;
-    double modelLoads = 1; ///< loads of models that may begin now
+    double modelLoadTokens = 1; ///< token bucket: number of model loads that may start now
 };
 
 enum class PlacementAction {
@@ -98,62 +103,50 @@
     PlacementAction action = PlacementAction::Load;
     EndpointName endpoint;
     std::string model;
-    std::string adapter; ///< empty: the model itself
+    std::string adapter; ///< empty: the order is for the model itself
     std::int32_t version = 0; ///< 0: the newest
-    std::int64_t expectedOrders = 0; ///< the endpoint refuses the order if it has accepted another number
+    std::int64_t expectedOrders = 0; ///< the endpoint refuses the order unless it has accepted this number of orders
 };
 
-/// @param state of the zone's endpoints
-/// @param now time
 /// @return orders to send now, at most one for each endpoint
 std::vector<PlacementOrder> planOrders(const PlacementState &state, TimePoint now);
 
-/// Notes an order that is being sent. What it loads counts as coming from then on, so that it is not ordered
-/// elsewhere before the answer is there: one load in place of one on each endpoint of the zone.
-/// @param state changed
-/// @param order being sent
-/// @param now time
-void noteOrdered(PlacementState &state, const PlacementOrder &order, TimePoint now);
-
-/// When to look for the first time whether a load has ended. Earlier than loads were seen to take, since a load is
-/// never seen to take less than the first look: without that the measured time could only grow, and stayed at 535 ms
-/// for loads of 250 ms after an outage in which looks got no answer.
-/// @param loadTime measured
-/// @return time from the order to the first look
-Duration firstCheckAfter(Duration loadTime);
-
-/// Follows short times at once and long ones slowly: a first look that comes early costs one order, one that comes
-/// late keeps callers waiting.
-/// @param loadTime measured so far
-/// @param took of a load that was seen to end
-/// @return the measure now
-Duration followLoadTime(Duration loadTime, Duration took);
-
-/// @param order any order
-/// @return MODEL or MODEL/ADAPTER
+/// Records an order that is being sent. The weights of a load count as loading from then on, before the answer arrives;
+/// otherwise each endpoint of the zone would be ordered to load them.
+void recordOrder(PlacementState &state, const PlacementOrder &order, TimePoint now);
+
+/// When to check for the first time whether a load has completed. The first check is earlier than the measured load
+/// time, because no load is measured as shorter than the time of its first check. Otherwise the measured time could
+/// only grow: after an outage in which checks got no answer, it stayed at 535 ms for loads of 250 ms.
+/// @param loadTime measured load time
+/// @return time from the order to the first check
+Duration firstCheckDelay(Duration loadTime);
+
+/// Updates the measured load time. A shorter time is adopted at once, a longer one is averaged in slowly: a first check
+/// that is too early costs one extra order, one that is too late delays the waiting requests.
+/// @param loadTime measured load time so far
+/// @param took duration of a load that has completed
+/// @return the new measured load time
+Duration updateLoadTime(Duration loadTime, Duration took);
+
+/// @return weights that the order is for: MODEL or MODEL/ADAPTER
 std::string weightsOf(const PlacementOrder &order);
 
-/// @param engine of a service
-/// @param endpoint one of its endpoints
-/// @return adapters that it has room for, with the models that it holds
+/// @param engine of the endpoint's service
+/// @return number of adapters that fit beside the endpoint's resident and loading models
 std::size_t adapterPlaces(const EngineSpec &engine, const PlacedEndpoint &endpoint);
 
-/// @param state with the engines
-/// @param endpoint one of the zone's
-/// @return adapters that it has room for; 0 if its service has no engine
+/// @return the same with the engine taken from the state; 0 if the endpoint's service has no engine
 std::size_t adapterPlaces(const PlacementState &state, const PlacedEndpoint &endpoint);
 
-/// @param state with what is wanted
 /// @param weights MODEL/ADAPTER
-/// @return whether requests wait for them
+/// @return whether requests wait for the weights
 bool isAwaited(const PlacementState &state, const std::string &weights);
 
-/// @param state of the zone's endpoints
-/// @return places for adapters at endpoints that are ready, which no request uses or waits for
+/// @return number of adapter places on ready endpoints that are neither used nor waited for by a request
 std::int32_t idlePlaces(const PlacementState &state);
 
-/// @param endpoint any endpoint
-/// @return adapters that take a place there, held or coming
+/// @return number of adapters that take a place on the endpoint, resident or loading
 std::size_t adaptersPlaced(const PlacedEndpoint &endpoint);
 
 } // namespace lacewing
--- a/lacewing/adapterplanstate.cpp
+++ b/lacewing/adapterplanstate.cpp
@@ -1,4 +1,4 @@
-// What planning counts on: the state of endpoints as orders are sent and loads end, and the time that loads take.
+// Functions on the placement state: recording orders, measuring load times, counting places.
 
 #include "adapterplan.h"
 
@@ -8,32 +8,32 @@
 
 namespace lacewing {
 
-void noteOrdered(PlacementState &state, const PlacementOrder &order, TimePoint now)
+void recordOrder(PlacementState &state, const PlacementOrder &order, TimePoint now)
 {
     const auto found = state.endpoints.find(order.endpoint);
     if (found == state.endpoints.end()) {
         return;
     }
-    found->second.orderOpen = true;
+    found->second.orderPending = true;
     if (order.action == PlacementAction::Unload) {
         return;
     }
-    found->second.coming[weightsOf(order)] = {order.version, now};
+    found->second.loading[weightsOf(order)] = {order.version, now};
     if (order.adapter.empty()) {
-        state.modelLoads -= 1;
+        state.modelLoadTokens -= 1;
     }
 }
 
-Duration firstCheckAfter(Duration loadTime)
+Duration firstCheckDelay(Duration loadTime)
 {
-    constexpr Duration least = milliseconds(25);
-    return std::max(least, loadTime * 4 / 5);
+    constexpr Duration minDelay = milliseconds(25);
+    return std::max(minDelay, loadTime * 4 / 5);
 }
 
-Duration followLoadTime(Duration loadTime, Duration took)
+Duration updateLoadTime(Duration loadTime, Duration took)
 {
-    constexpr int share = 8;
-    return std::min(took, loadTime + (took - loadTime) / share);
+    constexpr int smoothing = 8;
+    return std::min(took, loadTime + (took - loadTime) / smoothing);
 }
 
 std::string weightsOf(const PlacementOrder &order)
@@ -47,7 +47,7 @@
     double largest = 0;
     for (const ModelSpec &model : engine.models) {
         largest = std::max(largest, model.adapterMegabytes);
-        if (endpoint.held.contains(model.name) || endpoint.coming.contains(model.name)) {
+        if (endpoint.held.contains(model.name) || endpoint.loading.contains(model.name)) {
             left -= model.weightsMegabytes;
         }
     }
@@ -66,8 +66,8 @@
 
 bool isAwaited(const PlacementState &state, const std::string &weights)
 {
-    const auto wanted = state.wanted.find(weights);
-    return wanted != state.wanted.end() && wanted->second.waiting > 0;
+    const auto demand = state.demand.find(weights);
+    return demand != state.demand.end() && demand->second.waiting > 0;
 }
 
 std::int32_t idlePlaces(const PlacementState &state)
@@ -81,7 +81,7 @@
         for (const auto &[weights, held] : endpoint.held) {
             free -= isAdapter(weights) && (held.running > 0 || isAwaited(state, weights)) ? 1 : 0;
         }
-        for (const auto &[weights, coming] : endpoint.coming) {
+        for (const auto &[weights, loading] : endpoint.loading) {
             free -= isAdapter(weights) && !endpoint.held.contains(weights) ? 1 : 0;
         }
         idle += std::max(0, free);
@@ -95,7 +95,7 @@
     for (const auto &[weights, held] : endpoint.held) {
         count += isAdapter(weights) ? 1 : 0;
     }
-    for (const auto &[weights, coming] : endpoint.coming) {
+    for (const auto &[weights, loading] : endpoint.loading) {
         count += isAdapter(weights) && !endpoint.held.contains(weights) ? 1 : 0;
     }
     return count;
--- a/lacewing/adapterversions.cpp
+++ b/lacewing/adapterversions.cpp
@@ -1,4 +1,4 @@
-// A process can't know for how long the versions that it finds at its start have stood, so they have no grace.
+// A process can't know when the versions that it finds at its start were published, so they get no grace.
 
 #include "adapterversions.h"
 
@@ -11,16 +11,16 @@
     if (longestStart.count() <= 0) {
         return Duration {0};
     }
-    return std::clamp(allowed - longestStart - versionReadTime, Duration {0}, longestGrace);
+    return std::clamp(allowed - longestStart - versionReadTime, Duration {0}, maxGrace);
 }
 
 bool nameVersion(AdapterVersions &versions, std::string_view weights, std::int32_t version, TimePoint since)
 {
-    NamedVersion &named = versions[std::string(weights)];
-    if (version <= named.version) {
+    PublishedVersion &published = versions[std::string(weights)];
+    if (version <= published.version) {
         return false;
     }
-    named = {version, since};
+    published = {version, since};
     return true;
 }
 
@@ -37,8 +37,8 @@
     if (found == versions.end()) {
         return 0;
     }
-    const bool dated = found->second.since.time_since_epoch().count() > 0;
-    const bool inGrace = dated && now - found->second.since < grace;
+    const bool sinceKnown = found->second.since.time_since_epoch().count() > 0;
+    const bool inGrace = sinceKnown && now - found->second.since < grace;
     return inGrace ? 0 : found->second.version;
 }
 
--- a/lacewing/heldbefore.cpp
+++ b/lacewing/heldbefore.cpp
@@ -1,4 +1,4 @@
-// Endpoints don't list what is in their host memory, so it is followed from what they were ordered to unload.
+// Endpoints don't report the contents of their host memory, so it is derived from the unloads they were ordered to do.
 
 #include "heldbefore.h"
 
@@ -6,22 +6,23 @@
 
 namespace lacewing {
 
-void rememberUnloaded(HeldBefore &before, std::string_view weights, const RememberedAdapter &adapter, std::size_t most)
+void rememberUnloaded(HeldBefore &remembered, std::string_view weights, const RememberedAdapter &adapter,
+                      std::size_t maxCount)
 {
-    before[std::string(weights)] = adapter;
-    if (before.size() <= most) {
+    remembered[std::string(weights)] = adapter;
+    if (remembered.size() <= maxCount) {
         return;
     }
-    const auto oldest = std::min_element(before.begin(), before.end(), [](const auto &one, const auto &other) {
+    const auto oldest = std::min_element(remembered.begin(), remembered.end(), [](const auto &one, const auto &other) {
         return one.second.unloaded < other.second.unloaded;
     });
-    before.erase(oldest);
+    remembered.erase(oldest);
 }
 
-const RememberedAdapter *findRemembered(const HeldBefore &before, std::string_view weights, std::int32_t oldest)
+const RememberedAdapter *findRemembered(const HeldBefore &remembered, std::string_view weights, std::int32_t minVersion)
 {
-    const auto found = before.find(weights);
-    return found == before.end() || found->second.version < oldest ? nullptr : &found->second;
+    const auto found = remembered.find(weights);
+    return found == remembered.end() || found->second.version < minVersion ? nullptr : &found->second;
 }
 
 } // namespace lacewing
--- a/lacewing/heldbefore.h
+++ b/lacewing/heldbefore.h
@@ -1,9 +1,10 @@
-// What an endpoint held before and still keeps in its host memory, from where it loads ten times faster than from the
-// weight store.
+// Adapters that an endpoint has unloaded and still keeps in its host memory, from where it loads them ten times faster
+// than from the weight store.
 //
-// Load pattern: few places for adapters, thousands of adapters, and a weight store that is close to its rate. An
-// adapter that returns goes to an endpoint that remembers it, in any zone. All VMs follow what endpoints lose, so that
-// a request asks the owner of the right zone, and a new owner knows what the one before unloaded.
+// Load pattern: few adapter places, thousands of adapters, and a weight store that is close to its maximum rate. An
+// adapter that is requested again is loaded on an endpoint that has it in host memory, in any zone. All VMs track the
+// unloads of all endpoints, so that a request asks the owner of the right zone, and a new owner knows what the previous
+// owner unloaded.
 
 #pragma once
 
@@ -19,28 +20,27 @@
 
 struct RememberedAdapter {
     std::int32_t version = 0;
-    TimePoint unloaded;
+    TimePoint unloaded; ///< time of the unload
 };
 
 /// Keys are MODEL/ADAPTER.
 using HeldBefore = std::map<std::string, RememberedAdapter, std::less<>>;
 
-/// Adapters that an endpoint remembers for each place that it has; six were seen to load fast again.
+/// Remembered adapters for each adapter place of an endpoint; six per place were still fast to load.
 constexpr std::size_t rememberedPerPlace = 6;
-/// Where the number of places is not known: 30 places are the most seen.
+/// Maximum for an endpoint whose number of places is not known: 30 places is the largest number seen.
 constexpr std::size_t mostRemembered = 180;
 
-/// Remembers that an adapter was unloaded; the one unloaded first is forgotten when there are too many.
-/// @param before changed
+/// Records an unloaded adapter. If there are more than the maximum, removes the one that was unloaded first.
 /// @param weights MODEL/ADAPTER
-/// @param adapter version and time
-/// @param most adapters to remember
-void rememberUnloaded(HeldBefore &before, std::string_view weights, const RememberedAdapter &adapter, std::size_t most);
+/// @param maxCount maximum number of remembered adapters
+void rememberUnloaded(HeldBefore &remembered, std::string_view weights, const RememberedAdapter &adapter,
+                      std::size_t maxCount);
 
-/// @param before of an endpoint
 /// @param weights MODEL/ADAPTER
-/// @param oldest version that will do
-/// @return the adapter as remembered, or null
-const RememberedAdapter *findRemembered(const HeldBefore &before, std::string_view weights, std::int32_t oldest);
+/// @param minVersion oldest version that is usable
+/// @return the remembered adapter, or null if there is none of a usable version
+const RememberedAdapter *findRemembered(const HeldBefore &remembered, std::string_view weights,
+                                        std::int32_t minVersion);
 
 } // namespace lacewing
--- a/lacewing/placementnews.cpp
+++ b/lacewing/placementnews.cpp
@@ -1,4 +1,4 @@
-// A change of an endpoint that is not ready is kept until it is: its state is being read anew.
+// Changes of an endpoint that is not ready are kept until it is ready again, because its state is being read again.
 
 #include "placementnews.h"
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Of an endpoint and of each of its weights in a datagram, beside their names.
-constexpr std::size_t bytesOfEndpoint = 30;
-constexpr std::size_t bytesOfWeights = 6;
+/// Encoded size of an endpoint and of each of its weights in a datagram, without their names.
+constexpr std::size_t bytesPerEndpoint = 30;
+constexpr std::size_t bytesPerWeights = 6;
 
 wire::HeldWeights heldWeights(const std::string &name, std::int32_t version)
 {
@@ -24,26 +24,26 @@
 
 std::size_t sizeOf(const wire::EndpointHoldings &holdings)
 {
-    std::size_t bytes = bytesOfEndpoint + holdings.endpoint.size();
+    std::size_t bytes = bytesPerEndpoint + holdings.endpoint.size();
     for (const auto *list : {&holdings.held, &holdings.gained}) {
         for (const wire::HeldWeights &one : *list) {
-            bytes += bytesOfWeights + one.name.size();
+            bytes += bytesPerWeights + one.name.size();
         }
     }
     for (const std::string &name : holdings.lost) {
-        bytes += bytesOfWeights + name.size();
+        bytes += bytesPerWeights + name.size();
     }
     return bytes;
 }
 
-/// Puts endpoints into notices of bounded size.
+/// Distributes endpoint entries over notices of bounded size.
 class Packer
 {
 public:
-    /// @return whether the notice that is being filled has room
+    /// @return whether the entry fits into the last notice
     bool hasRoomFor(const wire::EndpointHoldings &holdings) const
     {
-        return this->bytes == 0 || this->bytes + sizeOf(holdings) <= mostNewsBytes;
+        return this->bytes == 0 || this->bytes + sizeOf(holdings) <= maxUpdateBytes;
     }
 
     void add(wire::EndpointHoldings holdings)
@@ -64,53 +64,53 @@
 
 } // namespace
 
-PlacementNews::PlacementNews(asio::io_context &ioContext, RuntimeClock &runtimeClock)
+PlacementUpdates::PlacementUpdates(asio::io_context &ioContext, RuntimeClock &runtimeClock)
     : clock(runtimeClock), timer(ioContext)
 {
 }
 
-void PlacementNews::noteGained(const EndpointName &id, const std::string &weights, std::int32_t version)
+void PlacementUpdates::recordGained(const EndpointName &id, const std::string &weights, std::int32_t version)
 {
     Change &change = this->changes[id];
     change.gained[weights] = version;
     change.lost.erase(weights);
-    this->tellAfter(gainDelay);
+    this->scheduleSend(gainDelay);
 }
 
-void PlacementNews::noteLost(const EndpointName &id, const std::string &weights)
+void PlacementUpdates::recordLost(const EndpointName &id, const std::string &weights)
 {
     Change &change = this->changes[id];
     change.lost.insert(weights);
     change.gained.erase(weights);
-    this->tellAfter(lossDelay);
+    this->scheduleSend(lossDelay);
 }
 
-void PlacementNews::noteAll(const EndpointName &id)
+void PlacementUpdates::recordAllChanged(const EndpointName &id)
 {
     this->changes[id].all = true;
-    this->tellAfter(gainDelay);
+    this->scheduleSend(gainDelay);
 }
 
-void PlacementNews::clear()
+void PlacementUpdates::clear()
 {
     this->changes.clear();
-    this->told.clear();
+    this->sent.clear();
     this->nextIndex = 0;
-    this->newest = 0;
-    this->retold.clear();
+    this->lastUpdate = 0;
+    this->lastSentInFull.clear();
     this->due = TimePoint {};
     this->timer.cancel();
 }
 
-void PlacementNews::tellAfter(Duration delay)
+void PlacementUpdates::scheduleSend(Duration delay)
 {
-    const TimePoint wanted = this->clock.now() + delay;
-    const bool waiting = this->due.time_since_epoch().count() > 0;
-    if (waiting && this->due <= wanted) {
+    const TimePoint newDue = this->clock.now() + delay;
+    const bool scheduled = this->due.time_since_epoch().count() > 0;
+    if (scheduled && this->due <= newDue) {
         return;
     }
-    this->due = wanted;
-    this->timer.expires_after(delay); // an earlier wait ends with an error
+    this->due = newDue;
+    this->timer.expires_after(delay); // cancels an earlier wait, which ends with an error
     this->timer.async_wait([this](const NetError &error) {
         if (!error) {
             this->due = TimePoint {};
@@ -121,32 +121,34 @@
     });
 }
 
-PlacementNews::Told &PlacementNews::toldOf(const EndpointName &id, const PlacedEndpoint &endpoint)
+PlacementUpdates::SentState &PlacementUpdates::sentStateOf(const EndpointName &id, const PlacedEndpoint &endpoint)
 {
-    const auto [found, isNew] = this->told.try_emplace(id);
-    Told &known = found->second;
-    if (isNew || known.born != endpoint.born) { // a restarted one gets a place of its own, so that no load is mistaken
-        known = {endpoint.born, this->nextIndex, 0};
+    const auto [found, isNew] = this->sent.try_emplace(id);
+    SentState &known = found->second;
+    if (isNew
+        || known.incarnationStart
+            != endpoint.incarnationStart) { // a new incarnation gets a new index, so that old loads don't count for it
+        known = {endpoint.incarnationStart, this->nextIndex, 0};
         this->nextIndex += 1;
     }
     return known;
 }
 
-wire::EndpointHoldings PlacementNews::outline(const EndpointName &id, const PlacedEndpoint &endpoint)
+wire::EndpointHoldings PlacementUpdates::summary(const EndpointName &id, const PlacedEndpoint &endpoint)
 {
     wire::EndpointHoldings holdings;
     holdings.endpoint = id;
-    holdings.born = endpoint.born;
+    holdings.born = endpoint.incarnationStart;
     holdings.orders = endpoint.orders;
     holdings.running = endpoint.running;
-    holdings.index = this->toldOf(id, endpoint).index;
+    holdings.index = this->sentStateOf(id, endpoint).index;
     holdings.heldOmitted = true;
     return holdings;
 }
 
-wire::EndpointHoldings PlacementNews::inFull(const EndpointName &id, const PlacedEndpoint &endpoint)
+wire::EndpointHoldings PlacementUpdates::fullHoldings(const EndpointName &id, const PlacedEndpoint &endpoint)
 {
-    wire::EndpointHoldings holdings = this->outline(id, endpoint);
+    wire::EndpointHoldings holdings = this->summary(id, endpoint);
     holdings.heldOmitted = false;
     for (const auto &[weights, adapter] : endpoint.held) {
         holdings.held.push_back(heldWeights(weights, adapter.version));
@@ -154,13 +156,13 @@
     return holdings;
 }
 
-wire::EndpointHoldings PlacementNews::changed(const EndpointName &id, const PlacedEndpoint &endpoint,
-                                              const Change &change)
+wire::EndpointHoldings PlacementUpdates::changedHoldings(const EndpointName &id, const PlacedEndpoint &endpoint,
+                                                         const Change &change)
 {
     if (change.all) {
-        return this->inFull(id, endpoint);
+        return this->fullHoldings(id, endpoint);
     }
-    wire::EndpointHoldings holdings = this->outline(id, endpoint);
+    wire::EndpointHoldings holdings = this->summary(id, endpoint);
     for (const auto &[weights, version] : change.gained) {
         holdings.gained.push_back(heldWeights(weights, version));
     }
@@ -168,7 +170,7 @@
     return holdings;
 }
 
-std::vector<wire::PlacementNotice> PlacementNews::takeChanges(const Endpoints &endpoints)
+std::vector<wire::PlacementNotice> PlacementUpdates::takeChanges(const Endpoints &endpoints)
 {
     Packer packer;
     std::erase_if(this->changes, [&](const auto &entry) {
@@ -180,82 +182,84 @@
         if (!found->second.ready) {
             return false;
         }
-        packer.add(this->changed(id, found->second, change));
+        packer.add(this->changedHoldings(id, found->second, change));
         return true;
     });
     if (packer.notices.front().endpoints.empty()) {
         return {};
     }
     for (wire::PlacementNotice &notice : packer.notices) {
-        notice.previousNews = this->newest;
-        this->newest += 1;
-        notice.news = this->newest;
+        notice.previousNews = this->lastUpdate;
+        this->lastUpdate += 1;
+        notice.news = this->lastUpdate;
         for (const wire::EndpointHoldings &holdings : notice.endpoints) {
-            this->told.at(holdings.endpoint).news = this->newest;
+            this->sent.at(holdings.endpoint).update = this->lastUpdate;
         }
     }
     return std::move(packer.notices);
 }
 
-std::vector<wire::PlacementNotice> PlacementNews::since(const Endpoints &endpoints, std::int64_t known)
+std::vector<wire::PlacementNotice> PlacementUpdates::noticesSince(const Endpoints &endpoints, std::int64_t known)
 {
-    std::map<std::int64_t, std::vector<EndpointName>> lacked;
-    for (const auto &[id, what] : this->told) {
+    std::map<std::int64_t, std::vector<EndpointName>> missing;
+    for (const auto &[id, sentState] : this->sent) {
         const auto found = endpoints.find(id);
-        if (what.news > known && found != endpoints.end() && found->second.born == what.born) {
-            lacked[what.news].push_back(id);
+        if (sentState.update > known && found != endpoints.end()
+            && found->second.incarnationStart == sentState.incarnationStart) {
+            missing[sentState.update].push_back(id);
         }
     }
     Packer packer;
     packer.notices.front().previousNews = known;
-    for (const auto &[news, ids] : lacked) {
+    for (const auto &[update, ids] : missing) {
         for (const EndpointName &id : ids) {
-            wire::EndpointHoldings holdings = this->inFull(id, endpoints.at(id));
+            wire::EndpointHoldings holdings = this->fullHoldings(id, endpoints.at(id));
             if (!packer.hasRoomFor(holdings)) {
-                packer.notices.back().news = news - 1; // the endpoints of this number follow in the next notice
+                packer.notices.back().news = update - 1; // the rest of this update follows in the next notice
             }
             packer.add(std::move(holdings));
         }
     }
-    packer.notices.back().news = this->newest;
+    packer.notices.back().news = this->lastUpdate;
     for (std::size_t index = 1; index < packer.notices.size(); ++index) {
         packer.notices[index].previousNews = packer.notices[index - 1].news;
     }
     return std::move(packer.notices);
 }
 
-std::string PlacementNews::loads(const Endpoints &endpoints) const
+std::string PlacementUpdates::loads(const Endpoints &endpoints) const
 {
     std::string bytes(static_cast<std::size_t>(this->nextIndex), static_cast<char>(unknownLoad));
-    for (const auto &[id, what] : this->told) {
+    for (const auto &[id, sentState] : this->sent) {
         const auto found = endpoints.find(id);
-        if (found != endpoints.end() && found->second.ready && found->second.born == what.born) {
+        if (found != endpoints.end() && found->second.ready
+            && found->second.incarnationStart == sentState.incarnationStart) {
             const std::int32_t running = std::clamp(found->second.running, 0, unknownLoad - 1);
-            bytes.at(static_cast<std::size_t>(what.index)) = static_cast<char>(running);
+            bytes.at(static_cast<std::size_t>(sentState.index)) = static_cast<char>(running);
         }
     }
     return bytes;
 }
 
-wire::PlacementNotice PlacementNews::next(const Endpoints &endpoints)
+wire::PlacementNotice PlacementUpdates::nextNotice(const Endpoints &endpoints)
 {
     wire::PlacementNotice notice;
     notice.loads = this->loads(endpoints);
-    notice.previousNews = this->newest;
-    notice.news = this->newest;
-    auto place = endpoints.upper_bound(this->retold);
-    for (std::size_t count = 0; count < std::min(retoldEndpoints, endpoints.size()); ++count) {
-        place = place == endpoints.end() ? endpoints.begin() : place;
-        const auto &[id, endpoint] = *place;
-        if (endpoint.ready && this->told.contains(id)) {
-            wire::EndpointHoldings holdings = this->inFull(id, endpoint);
-            if (!notice.endpoints.empty() && sizeOf(notice.endpoints.front()) + sizeOf(holdings) > mostNewsBytes) {
+    notice.previousNews = this->lastUpdate;
+    notice.news = this->lastUpdate;
+    auto position = endpoints.upper_bound(this->lastSentInFull);
+    for (std::size_t count = 0; count < std::min(fullEndpointsPerNotice, endpoints.size()); ++count) {
+        position = position == endpoints.end() ? endpoints.begin() : position;
+        const auto &[id, endpoint] = *position;
+        if (endpoint.ready && this->sent.contains(id)) {
+            wire::EndpointHoldings holdings = this->fullHoldings(id, endpoint);
+            if (!notice.endpoints.empty() && sizeOf(notice.endpoints.front()) + sizeOf(holdings) > maxUpdateBytes) {
                 break;
             }
             notice.endpoints.push_back(std::move(holdings));
         }
-        this->retold = id;
-        ++place;
+        this->lastSentInFull = id;
+        ++position;
     }
     return notice;
 }
--- a/lacewing/placementnews.h
+++ b/lacewing/placementnews.h
@@ -1,18 +1,19 @@
-// What a placement owner tells the other VMs of its endpoints: what changes at once, the rest by and by.
+// Updates that a placement owner sends to the other VMs about its endpoints: changes soon, everything else in turn.
 //
-//   PlacementNews news(context, clock);
-//   news.onDue = [&] { for (const wire::PlacementNotice &notice : news.takeChanges(endpoints)) send(notice); };
-//   news.noteGained(id, weights, version); news.noteLost(id, weights);
-//   send(news.next(endpoints));                                 // twice a second
-//   for (... : news.since(endpoints, known)) sendTo(vm, ...);   // to a VM that has missed some
+//   PlacementUpdates updates(context, clock);
+//   updates.onDue = [&] { for (const wire::PlacementNotice &notice : updates.takeChanges(endpoints)) send(notice); };
+//   updates.recordGained(id, weights, version); updates.recordLost(id, weights);
+//   send(updates.nextNotice(endpoints));                                   // twice a second
+//   for (... : updates.noticesSince(endpoints, known)) sendTo(vm, ...);    // to a VM that has missed updates
 //
-// Load pattern: sixty loads and unloads a second at hundreds of endpoints, told to hundreds of VMs over a link of
-// 10 Mbit/s that belongs to an owner on 0.12 of a core. All that an endpoint holds takes some hundred bytes, a change
-// 80, and each datagram costs processor time. So changes are gathered for some milliseconds and told as differences.
-// News are numbered: a VM that has missed some notices it (newsprogress) and asks, so nothing need be told in full
-// again and again. How busy endpoints are takes a byte each, at a place in a list that its first news names.
+// Load pattern: sixty loads and unloads a second on hundreds of endpoints, sent to hundreds of VMs over a link of
+// 10 Mbit/s by an owner that has 0.12 of a core. The full state of an endpoint takes some hundred bytes, a change 80,
+// and each datagram costs processor time. So changes are collected for some milliseconds and sent as differences.
+// Updates are numbered: a VM that has missed some detects the gap (newsprogress) and asks for them, so the full state
+// need not be sent repeatedly. The load of an endpoint takes one byte, at an index that the endpoint's first update
+// names.
 //
-// No notice is larger than a link carries unfragmented, as one is lost whole with any of its fragments.
+// No notice is larger than a link carries unfragmented, because a datagram is lost if any of its fragments is lost.
 
 #pragma once
 
@@ -32,44 +33,45 @@
 
 class RuntimeClock;
 
-/// Changes for which callers wait are gathered this long: a load takes 250 ms and more.
+/// How long completed loads are collected before they are sent. Requests wait for them, and a load takes 250 ms or
+/// more.
 constexpr Duration gainDelay = milliseconds(15);
-/// Unloads are told this late unless a gain goes out before: nobody used the adapter.
+/// How long unloads are collected unless a completed load is sent earlier: no request was using the adapter.
 constexpr Duration lossDelay = milliseconds(100);
-/// What a notice tells of endpoints, in bytes: with what goes round it, less than 1,400.
-constexpr std::size_t mostNewsBytes = 1100;
-/// Endpoints that a regular notice tells in full, in turn, whether or not they changed: a VM that was told by an
-/// endpoint that it lacks an adapter, wrongly by the time it heard that, learns so here.
-constexpr std::size_t retoldEndpoints = 2;
-/// Load of an endpoint that is not known.
+/// Maximum size of the endpoint entries of a notice in bytes; the whole datagram stays below 1,400.
+constexpr std::size_t maxUpdateBytes = 1100;
+/// Number of endpoints whose full state is in each regular notice, in turn, whether or not they changed. This corrects
+/// a VM that an endpoint told that an adapter is not resident, when that answer was outdated on arrival.
+constexpr std::size_t fullEndpointsPerNotice = 2;
+/// Encoded load of an endpoint whose load is not known.
 constexpr unsigned char unknownLoad = 255;
 
-class PlacementNews
+class PlacementUpdates
 {
 public:
     using Endpoints = std::map<EndpointName, PlacedEndpoint>;
 
-    PlacementNews(asio::io_context &ioContext, RuntimeClock &runtimeClock);
+    PlacementUpdates(asio::io_context &ioContext, RuntimeClock &runtimeClock);
 
-    void noteGained(const EndpointName &id, const std::string &weights, std::int32_t version);
-    void noteLost(const EndpointName &id, const std::string &weights);
-    /// All that the endpoint holds is to be told.
-    void noteAll(const EndpointName &id);
-    /// Forgets all changes and begins to count anew.
+    void recordGained(const EndpointName &id, const std::string &weights, std::int32_t version);
+    void recordLost(const EndpointName &id, const std::string &weights);
+    /// Records that the full state of the endpoint has to be sent.
+    void recordAllChanged(const EndpointName &id);
+    /// Discards all changes and restarts the numbering of updates.
     void clear();
 
-    /// @param endpoints of the zone
-    /// @return the changes that were not told yet
+    /// @param endpoints all endpoints of the zone
+    /// @return the changes that have not been sent yet
     std::vector<wire::PlacementNotice> takeChanges(const Endpoints &endpoints);
-    /// @param endpoints of the zone
-    /// @return how busy all of them are, and what some of them hold: others with each call
-    wire::PlacementNotice next(const Endpoints &endpoints);
-    /// @param endpoints of the zone
-    /// @param known number up to which a VM has all news
-    /// @return what it lacks
-    std::vector<wire::PlacementNotice> since(const Endpoints &endpoints, std::int64_t known);
-
-    /// Called when changes are to be told.
+    /// @param endpoints all endpoints of the zone
+    /// @return the loads of all endpoints and the full state of some, which are taken in turn from call to call
+    wire::PlacementNotice nextNotice(const Endpoints &endpoints);
+    /// @param endpoints all endpoints of the zone
+    /// @param known number up to which a VM has all updates
+    /// @return the updates that the VM has missed
+    std::vector<wire::PlacementNotice> noticesSince(const Endpoints &endpoints, std::int64_t known);
+
+    /// Called when changes are due to be sent.
     std::function<void()> onDue;
 
 private:
@@ -79,28 +81,29 @@
         std::set<std::string> lost;
     };
 
-    /// What was told of an endpoint.
-    struct Told {
-        std::int64_t born = 0; ///< start of the incarnation
-        std::int32_t index = 0; ///< in the list of loads
-        std::int64_t news = 0; ///< number of the last news of it
+    /// What has been sent about an endpoint.
+    struct SentState {
+        std::int64_t incarnationStart = 0;
+        std::int32_t index = 0; ///< index in the list of loads
+        std::int64_t update = 0; ///< number of the last update about the endpoint
     };
 
-    void tellAfter(Duration delay);
-    Told &toldOf(const EndpointName &id, const PlacedEndpoint &endpoint);
-    wire::EndpointHoldings outline(const EndpointName &id, const PlacedEndpoint &endpoint);
-    wire::EndpointHoldings inFull(const EndpointName &id, const PlacedEndpoint &endpoint);
-    wire::EndpointHoldings changed(const EndpointName &id, const PlacedEndpoint &endpoint, const Change &change);
+    void scheduleSend(Duration delay);
+    SentState &sentStateOf(const EndpointName &id, const PlacedEndpoint &endpoint);
+    wire::EndpointHoldings summary(const EndpointName &id, const PlacedEndpoint &endpoint);
+    wire::EndpointHoldings fullHoldings(const EndpointName &id, const PlacedEndpoint &endpoint);
+    wire::EndpointHoldings changedHoldings(const EndpointName &id, const PlacedEndpoint &endpoint,
+                                           const Change &change);
     std::string loads(const Endpoints &endpoints) const;
 
     RuntimeClock &clock;
     asio::steady_timer timer;
-    TimePoint due; ///< when changes are told; zero: not at all
+    TimePoint due; ///< when changes are sent; zero: not scheduled
     std::map<EndpointName, Change> changes;
-    std::map<EndpointName, Told> told;
+    std::map<EndpointName, SentState> sent;
     std::int32_t nextIndex = 0;
-    std::int64_t newest = 0; ///< number of the last news
-    EndpointName retold; ///< the last endpoint that a regular notice told in full
+    std::int64_t lastUpdate = 0; ///< number of the last update
+    EndpointName lastSentInFull; ///< last endpoint whose full state was in a regular notice
 };
 
 } // namespace lacewing
--- a/lacewing/placementowner.cpp
+++ b/lacewing/placementowner.cpp
@@ -1,6 +1,6 @@
-// Endpoints give no sign when a load has ended, and their reports are some hundred milliseconds old. So the same
-// load is ordered again, naming the present number of orders: the endpoint answers that it holds already once the
-// load has ended, and refuses such an order if it arrives late, after another one.
+// Endpoints don't signal the end of a load, and their reports are some hundred milliseconds old. So the owner checks a
+// load by repeating the order with the current number of orders. Once the load has completed, the endpoint answers that
+// the adapter is already resident; a repeated order that arrives after a later order is refused.
 
 #include "placementowner.h"
 
@@ -19,13 +19,13 @@
 
 namespace {
 
-/// From an accepted load to the first check where the adapter was held recently: it loads in 25 ms.
-constexpr Duration fastLoad = milliseconds(26);
-/// Between two plans: all reports and answers that come meanwhile go into one.
-constexpr Duration planPause = milliseconds(15);
-/// A VM that was not heard for this long is taken to run nothing.
+/// Time from an accepted load to the first check if the adapter is in host memory: such a load takes 25 ms.
+constexpr Duration fastLoadDelay = milliseconds(26);
+/// Minimum interval between two plans; the reports and answers that arrive in between are handled by one plan.
+constexpr Duration minPlanInterval = milliseconds(15);
+/// The demand report of a VM expires after this time.
 constexpr Duration demandLifetime = milliseconds(3000);
-constexpr double seconds = 1e6; ///< microseconds
+constexpr double microsecondsPerSecond = 1e6;
 
 } // namespace
 
@@ -35,12 +35,12 @@
       clock(runtimeClock),
       port(platformPort),
       zone(std::move(ownZone)),
-      news(ioContext, runtimeClock)
+      updates(ioContext, runtimeClock)
 {
-    this->news.onDue = [this] {
-        for (wire::PlacementNotice &notice : this->news.takeChanges(this->state.endpoints)) {
+    this->updates.onDue = [this] {
+        for (wire::PlacementNotice &notice : this->updates.takeChanges(this->state.endpoints)) {
             if (this->onChanged) {
-                this->onChanged(this->signedNotice(std::move(notice)));
+                this->onChanged(this->withOwnerFields(std::move(notice)));
             }
         }
     };
@@ -52,11 +52,11 @@
     this->term += 1;
     this->fencingNumber = fencing;
     this->state.endpoints.clear();
-    this->reportOpen.clear();
-    this->news.clear();
+    this->reportPending.clear();
+    this->updates.clear();
     this->planRequested = false;
-    this->modelLoadsRefilled = this->now();
-    this->state.modelLoads = 1;
+    this->tokensRefilled = this->now();
+    this->state.modelLoadTokens = 1;
     logEvent("placement_owner", {{"zone", this->zone}, {"fencing", std::to_string(fencing)}, {"owner", "yes"}});
 }
 
@@ -67,13 +67,13 @@
     }
     this->isActive = false;
     this->term += 1;
-    this->news.clear();
+    this->updates.clear();
     this->state.endpoints.clear();
     logEvent("placement_owner",
              {{"zone", this->zone}, {"fencing", std::to_string(this->fencingNumber)}, {"owner", "no"}});
 }
 
-bool PlacementOwner::allowed() const
+bool PlacementOwner::isOrderAllowed() const
 {
     return !this->mayOrder || this->mayOrder();
 }
@@ -111,29 +111,29 @@
         if (known.entry.zone != this->zone || !this->isActive) {
             continue;
         }
-        const bool isNew = this->incarnation(id, known.entry.born) == nullptr;
+        const bool isNew = this->findIncarnation(id, known.entry.born) == nullptr;
         PlacedEndpoint &endpoint = this->state.endpoints[id];
-        if (isNew) { // an incarnation that is not known holds what its first report says, and nothing of before
+        if (isNew) { // the state of a new incarnation comes from its first report, not from the previous one
             endpoint = PlacedEndpoint {};
             endpoint.heldBefore = known.heldBefore;
-            this->reportOpen[id] = false;
+            this->reportPending[id] = false;
         }
-        endpoint.born = known.entry.born;
+        endpoint.incarnationStart = known.entry.born;
         endpoint.service = known.entry.service;
         endpoint.address = known.entry.address;
         endpoint.slots = std::max(1, known.entry.slots);
-        const bool shunned = !takesPlacement(fleet, known, this->now());
+        const bool isShunned = !takesPlacement(fleet, known, this->now());
         if (known.entry.leaving) {
             endpoint.ready = false;
-        } else if (shunned != endpoint.shunned) {
-            endpoint.shunned = shunned; // what it holds is loaded elsewhere while it can't be used
+        } else if (isShunned != endpoint.shunned) {
+            endpoint.shunned = isShunned; // while it can't be used, its weights are loaded elsewhere
             endpoint.ready = false;
             this->readReport(id);
-        } else if (isNew || (known.entry.orders > endpoint.orders && !endpoint.orderOpen)) {
+        } else if (isNew || (known.entry.orders > endpoint.orders && !endpoint.orderPending)) {
             this->readReport(id);
         }
     }
-    this->zones = std::max<std::size_t>(1, engineZones.size());
+    this->zoneCount = std::max<std::size_t>(1, engineZones.size());
     this->requestPlan();
 }
 
@@ -151,23 +151,23 @@
 void PlacementOwner::mergeDemand()
 {
     const TimePoint time = this->now();
-    std::erase_if(this->demands, [time](const auto &entry) { return time - entry.second.heard > demandLifetime; });
+    std::erase_if(this->demands, [time](const auto &entry) { return time - entry.second.received > demandLifetime; });
     for (auto &[id, endpoint] : this->state.endpoints) {
         endpoint.running = 0;
         for (auto &[weights, held] : endpoint.held) {
             held.running = 0;
         }
     }
-    std::map<std::string, WantedWeights> wanted;
+    std::map<std::string, WeightsDemand> merged;
     for (const auto &[vm, demand] : this->demands) {
         for (const wire::EndpointUse &use : demand.report.uses) {
             const auto found = this->state.endpoints.find(use.endpoint);
             if (found == this->state.endpoints.end()) {
-                const auto place = this->zoneOfEndpoint.find(use.endpoint);
-                const bool elsewhere = place != this->zoneOfEndpoint.end() && place->second != this->zone;
+                const auto otherZone = this->zoneOfEndpoint.find(use.endpoint);
+                const bool elsewhere = otherZone != this->zoneOfEndpoint.end() && otherZone->second != this->zone;
                 for (const std::string &name : use.names) {
                     if (elsewhere && demand.zone == this->zone && isAdapter(name)) {
-                        wanted[name].remote += 1;
+                        merged[name].remote += 1;
                     }
                 }
                 continue;
@@ -182,23 +182,23 @@
             }
         }
         for (const wire::WantedWeights &want : demand.report.wanted) {
-            WantedWeights &one = wanted[want.name];
-            const TimePoint since = demand.heard - milliseconds(want.oldestMilliseconds);
+            WeightsDemand &one = merged[want.name];
+            const TimePoint since = demand.received - milliseconds(want.oldestMilliseconds);
             one.rank = one.waiting == 0 ? want.rank : std::min(one.rank, want.rank);
             one.since = one.waiting == 0 ? since : std::min(one.since, since);
             one.waiting += want.waiting;
         }
     }
-    this->state.wanted = std::move(wanted);
+    this->state.demand = std::move(merged);
 }
 
-void PlacementOwner::refillModelLoads()
+void PlacementOwner::refillModelLoadTokens()
 {
     const TimePoint time = this->now();
-    const double passed = static_cast<double>((time - this->modelLoadsRefilled).count()) / seconds;
-    const double share = modelLoadShare * this->modelLoadRate / static_cast<double>(this->zones);
-    this->state.modelLoads = std::min(1.0 + share, this->state.modelLoads + passed * share);
-    this->modelLoadsRefilled = time;
+    const double elapsed = static_cast<double>((time - this->tokensRefilled).count()) / microsecondsPerSecond;
+    const double share = modelLoadShare * this->modelLoadRate / static_cast<double>(this->zoneCount);
+    this->state.modelLoadTokens = std::min(1.0 + share, this->state.modelLoadTokens + elapsed * share);
+    this->tokensRefilled = time;
 }
 
 void PlacementOwner::requestPlan()
@@ -207,12 +207,12 @@
         return;
     }
     this->planRequested = true;
-    this->runAfter(std::max(Duration {0}, this->planned + planPause - this->now()), [this] { this->plan(); });
+    this->runAfter(std::max(Duration {0}, this->lastPlan + minPlanInterval - this->now()), [this] { this->plan(); });
 }
 
-void PlacementOwner::run(std::int64_t madeIn, const std::function<void()> &handler)
+void PlacementOwner::runIfCurrent(std::int64_t createdIn, const std::function<void()> &handler)
 {
-    if (this->term == madeIn && !runGuarded("placement", handler) && this->onFailed) {
+    if (this->term == createdIn && !runGuarded("placement", handler) && this->onFailed) {
         this->onFailed();
     }
 }
@@ -223,7 +223,7 @@
     timer->expires_after(delay);
     timer->async_wait([this, timer, handler, setIn = this->term](const NetError &error) {
         if (!error) {
-            this->run(setIn, handler);
+            this->runIfCurrent(setIn, handler);
         }
     });
 }
@@ -231,17 +231,17 @@
 void PlacementOwner::plan()
 {
     this->planRequested = false;
-    if (!this->allowed()) {
-        return; // the next report asks for a plan again
+    if (!this->isOrderAllowed()) {
+        return; // the next report requests a plan again
     }
-    this->planned = this->now();
+    this->lastPlan = this->now();
     this->plansMade += 1;
     this->mergeDemand();
-    this->refillModelLoads();
+    this->refillModelLoadTokens();
     const std::int64_t plannedIn = this->term;
-    for (const PlacementOrder &order : planOrders(this->state, this->planned)) {
+    for (const PlacementOrder &order : planOrders(this->state, this->lastPlan)) {
         if (this->term != plannedIn) {
-            return; // an answer to one of them has ended the ownership
+            return; // the ownership has ended while an order was sent
         }
         this->send(order);
     }
@@ -251,9 +251,9 @@
 {
     const auto found = this->state.endpoints.find(order.endpoint);
     if (found == this->state.endpoints.end()) {
-        return; // taken off the list since the plan was made
+        return; // removed since the plan was computed
     }
-    noteOrdered(this->state, order, this->now());
+    recordOrder(this->state, order, this->now());
     this->ordersSent += 1;
     const PlacedEndpoint &endpoint = found->second;
     logEvent("order_sent",
@@ -265,32 +265,32 @@
               {"fencing", std::to_string(this->fencingNumber)},
               {"placed", std::to_string(adaptersPlaced(endpoint))}});
     const std::int64_t sentIn = this->term;
-    const std::int64_t born = endpoint.born;
-    const std::string address = endpoint.address; // the endpoint may go within the call
-    this->port.order(order, address, this->fencingNumber, [this, order, sentIn, born](OrderReply reply) {
-        this->run(sentIn, [&] { this->onReply(order, born, reply); });
+    const std::int64_t incarnationStart = endpoint.incarnationStart;
+    const std::string address = endpoint.address; // the endpoint may be removed within the call
+    this->port.order(order, address, this->fencingNumber, [this, order, sentIn, incarnationStart](OrderReply reply) {
+        this->runIfCurrent(sentIn, [&] { this->onReply(order, incarnationStart, reply); });
     });
 }
 
-std::size_t PlacementOwner::mostRememberedBy(const PlacedEndpoint &endpoint) const
+std::size_t PlacementOwner::maxRemembered(const PlacedEndpoint &endpoint) const
 {
     return rememberedPerPlace * adapterPlaces(this->state, endpoint);
 }
 
-PlacedEndpoint *PlacementOwner::incarnation(const EndpointName &id, std::int64_t born)
+PlacedEndpoint *PlacementOwner::findIncarnation(const EndpointName &id, std::int64_t start)
 {
     const auto found = this->state.endpoints.find(id);
-    return found == this->state.endpoints.end() || found->second.born != born ? nullptr : &found->second;
+    return found == this->state.endpoints.end() || found->second.incarnationStart != start ? nullptr : &found->second;
 }
 
-void PlacementOwner::onReply(const PlacementOrder &order, std::int64_t born, OrderReply reply)
+void PlacementOwner::onReply(const PlacementOrder &order, std::int64_t incarnationStart, OrderReply reply)
 {
-    PlacedEndpoint *known = this->incarnation(order.endpoint, born);
+    PlacedEndpoint *known = this->findIncarnation(order.endpoint, incarnationStart);
     if (known == nullptr) {
         return;
     }
     PlacedEndpoint &endpoint = *known;
-    endpoint.orderOpen = false;
+    endpoint.orderPending = false;
     const std::string weights = weightsOf(order);
     const TimePoint time = this->now();
     if (reply == OrderReply::Accepted && order.action == PlacementAction::Load) {
@@ -302,11 +302,10 @@
         endpoint.orders = order.expectedOrders + 1;
         const auto held = endpoint.held.find(weights);
         if (held != endpoint.held.end()) {
-            rememberUnloaded(endpoint.heldBefore, weights, {held->second.version, time},
-                             this->mostRememberedBy(endpoint));
+            rememberUnloaded(endpoint.heldBefore, weights, {held->second.version, time}, this->maxRemembered(endpoint));
             endpoint.held.erase(held);
         }
-        this->news.noteLost(order.endpoint, weights);
+        this->updates.recordLost(order.endpoint, weights);
     } else if (reply == OrderReply::Fenced) {
         logEvent("order_fenced", {{"endpoint", order.endpoint}, {"fencing", std::to_string(this->fencingNumber)}});
         if (this->onFenced) {
@@ -314,14 +313,14 @@
         }
         return;
     } else {
-        const bool surprise = reply == OrderReply::Conflict || reply == OrderReply::NoAnswer
+        const bool unexpected = reply == OrderReply::Conflict || reply == OrderReply::NoAnswer
             || reply == OrderReply::OtherEndpoint || reply == OrderReply::Refused;
-        if (surprise) {
+        if (unexpected) {
             logEvent("order_failed",
                      {{"endpoint", order.endpoint},
                       {"weights", weights},
                       {"reply", std::to_string(static_cast<int>(reply))}});
-            endpoint.notBefore = time + (reply == OrderReply::Conflict ? Duration {0} : failurePause);
+            endpoint.notBefore = time + (reply == OrderReply::Conflict ? Duration {0} : failureRetryDelay);
         }
         endpoint.ready = false; // until its report is read
         this->readReport(order.endpoint);
@@ -335,34 +334,34 @@
         endpoint.busy = true;
         this->schedulePoll(order.endpoint, pollInterval);
     } else {
-        const bool heldBefore = findRemembered(endpoint.heldBefore, weightsOf(order), order.version) != nullptr;
-        this->scheduleCheck(order, endpoint.born, heldBefore ? fastLoad : firstCheckAfter(this->loadTime));
+        const bool fast = findRemembered(endpoint.heldBefore, weightsOf(order), order.version) != nullptr;
+        this->scheduleCheck(order, endpoint.incarnationStart, fast ? fastLoadDelay : firstCheckDelay(this->loadTime));
     }
 }
 
 void PlacementOwner::onLoaded(PlacedEndpoint &endpoint, const PlacementOrder &order)
 {
     const std::string weights = weightsOf(order);
-    const auto coming = endpoint.coming.find(weights);
+    const auto loading = endpoint.loading.find(weights);
     const TimePoint time = this->now();
-    if (coming != endpoint.coming.end()) {
+    if (loading != endpoint.loading.end()) {
         logEvent("load_ended",
                  {{"endpoint", order.endpoint},
                   {"weights", weights},
-                  {"took_ms", std::to_string(toMilliseconds(time - coming->second.since))}});
+                  {"took_ms", std::to_string(toMilliseconds(time - loading->second.since))}});
         if (findRemembered(endpoint.heldBefore, weights, order.version) == nullptr) {
-            this->noteLoadTime(time - coming->second.since);
+            this->recordLoadTime(time - loading->second.since);
         }
-        endpoint.coming.erase(coming);
+        endpoint.loading.erase(loading);
     }
     endpoint.heldBefore.erase(weights);
     endpoint.held[weights] = {std::max(1, order.version), time, 0};
-    this->news.noteGained(order.endpoint, weights, std::max(1, order.version));
+    this->updates.recordGained(order.endpoint, weights, std::max(1, order.version));
 }
 
-void PlacementOwner::noteLoadTime(Duration took)
+void PlacementOwner::recordLoadTime(Duration took)
 {
-    this->loadTime = followLoadTime(this->loadTime, took);
+    this->loadTime = updateLoadTime(this->loadTime, took);
 }
 
 std::int32_t PlacementOwner::idlePlaces() const
@@ -372,19 +371,19 @@
 
 wire::PlacementNotice PlacementOwner::nextNotice()
 {
-    return this->signedNotice(this->news.next(this->state.endpoints));
+    return this->withOwnerFields(this->updates.nextNotice(this->state.endpoints));
 }
 
 std::vector<wire::PlacementNotice> PlacementOwner::newsSince(std::int64_t known)
 {
-    std::vector<wire::PlacementNotice> notices = this->news.since(this->state.endpoints, known);
+    std::vector<wire::PlacementNotice> notices = this->updates.noticesSince(this->state.endpoints, known);
     for (wire::PlacementNotice &notice : notices) {
-        notice = this->signedNotice(std::move(notice));
+        notice = this->withOwnerFields(std::move(notice));
     }
     return notices;
 }
 
-wire::PlacementNotice PlacementOwner::signedNotice(wire::PlacementNotice notice) const
+wire::PlacementNotice PlacementOwner::withOwnerFields(wire::PlacementNotice notice) const
 {
     notice.zone = this->zone;
     notice.fencing = this->fencingNumber;
--- a/lacewing/placementowner.h
+++ b/lacewing/placementowner.h
@@ -1,12 +1,13 @@
-// Carries out the placement of adapters on one zone's endpoints while this VM owns them.
+// Places models and adapters on the endpoints of one zone while this VM owns the zone's placement.
 //
 //   PlacementOwner owner(context, clock, port, zone);
-//   owner.begin(fencing);       // when the claim is held and usable
+//   owner.begin(fencing);       // when this VM's claim to the zone becomes usable
 //   owner.sync(fleet, config, versions);
 //   owner.noteDemand(vm, zone, report);
-//   owner.end();                // when it is not
+//   owner.end();                // when the claim is lost or no longer usable
 //
-// What to order is decided in adapterplan; this keeps the state up to date from reports and answers.
+// adapterplan decides what to order. This class sends the orders and keeps the state up to date from reports and
+// answers.
 
 #pragma once
 
@@ -30,12 +31,12 @@
 struct Fleet;
 struct RouteConfig;
 
-/// Between two checks whether a load has ended: a tenth of what an adapter's load takes.
-constexpr Duration checkInterval = milliseconds(25);
-/// Between reports while a model is being loaded, which takes more than half a second.
+/// Interval of the checks whether a load has completed: a tenth of the time that an adapter's load takes.
+constexpr Duration loadCheckInterval = milliseconds(25);
+/// Interval of reading an endpoint's report while it loads a model, which takes more than half a second.
 constexpr Duration pollInterval = milliseconds(150);
-/// After a failed report or a refused order, before the next try.
-constexpr Duration failurePause = milliseconds(300);
+/// Delay before the retry after a failed report or order.
+constexpr Duration failureRetryDelay = milliseconds(300);
 
 class PlacementOwner
 {
@@ -49,35 +50,36 @@
     bool active() const;
     std::int64_t fencing() const;
 
-    /// Takes in who is there, what is configured and which versions are named.
+    /// Updates the endpoints, the configuration and the published versions.
     void sync(const Fleet &fleet, const RouteConfig &config, const AdapterVersions &versions);
-    /// @param vm that reports
-    /// @param vmZone its zone
-    /// @param report what it runs and waits for
+    /// @param vm VM that sent the report
+    /// @param vmZone zone of this VM
+    /// @param report what its requests run on and wait for
     void noteDemand(const VmId &vm, const ZoneName &vmZone, const wire::DemandReport &report);
-    /// @param vm that is gone
+    /// @param vm VM that has left the deployment
     void forgetVm(const VmId &vm);
 
-    /// @return places for adapters in the zone that no request uses or waits for
+    /// @return number of adapter places in the zone that are neither used nor waited for by a request
     std::int32_t idlePlaces() const;
 
-    /// @return how busy all endpoints are, and what some of them hold: others with each call
+    /// @return the loads of all endpoints and the full state of some, which are taken in turn from call to call
     wire::PlacementNotice nextNotice();
-    /// @param known number up to which a VM has all news of this owner
-    /// @return what it lacks
+    /// @param known number up to which a VM has all updates of this owner
+    /// @return the updates that the VM has missed
     std::vector<wire::PlacementNotice> newsSince(std::int64_t known);
 
-    /// Called with changes of what endpoints hold, some milliseconds' worth at a time.
+    /// Called with the changes of what endpoints hold, collected over some milliseconds.
     std::function<void(const wire::PlacementNotice &)> onChanged;
-    /// Asked before each order; unset: always. Ending the ownership within the question is allowed.
+    /// Returns whether an order may be sent; called before each order. If unset, orders are always allowed. The
+    /// callback may call end().
     std::function<bool()> mayOrder;
-    /// Called when an endpoint refused our fencing number.
+    /// Called when an endpoint has refused this owner's fencing number.
     std::function<void()> onFenced;
-    /// Called when a plan or the handling of an answer failed: what is known of the endpoints may be wrong.
+    /// Called when a handler for a plan or an answer has failed; the state of the endpoints may be wrong then.
     std::function<void()> onFailed;
 
-    /// Loads and unloads ordered since the start, for the metrics page.
-    std::int64_t ordersSent = 0;
+    /// Counters since the start, for the metrics page.
+    std::int64_t ordersSent = 0; ///< loads and unloads
     std::int64_t loadChecks = 0;
     std::int64_t plansMade = 0;
     std::int64_t reportsRead = 0;
@@ -86,33 +88,34 @@
     struct VmDemand {
         ZoneName zone;
         wire::DemandReport report;
-        TimePoint heard;
+        TimePoint received;
     };
 
-    /// Runs a handler if the ownership that it was made in still holds.
-    void run(std::int64_t madeIn, const std::function<void()> &handler);
-    /// Runs a handler after a while, likewise.
+    /// Runs a handler if the ownership term that it was created in has not ended.
+    void runIfCurrent(std::int64_t createdIn, const std::function<void()> &handler);
+    /// Runs a handler after the delay if the current ownership term has not ended by then.
     void runAfter(Duration delay, const std::function<void()> &handler);
-    wire::PlacementNotice signedNotice(wire::PlacementNotice notice) const;
+    wire::PlacementNotice withOwnerFields(wire::PlacementNotice notice) const;
     void requestPlan();
     void plan();
     void send(const PlacementOrder &order);
-    void onReply(const PlacementOrder &order, std::int64_t born, OrderReply reply);
+    void onReply(const PlacementOrder &order, std::int64_t incarnationStart, OrderReply reply);
     void onLoadAccepted(PlacedEndpoint &endpoint, const PlacementOrder &order);
     void onLoaded(PlacedEndpoint &endpoint, const PlacementOrder &order);
-    void scheduleCheck(const PlacementOrder &order, std::int64_t born, Duration delay);
-    void checkLoad(PlacementOrder order, std::int64_t born);
-    void onLoadChecked(const PlacementOrder &order, std::int64_t born, OrderReply reply);
-    void onReportAnswer(const EndpointName &id, std::int64_t born, const std::optional<EndpointReport> &report);
-    void noteLoadTime(Duration took);
+    void scheduleCheck(const PlacementOrder &order, std::int64_t incarnationStart, Duration delay);
+    void checkLoad(PlacementOrder order, std::int64_t incarnationStart);
+    void onLoadChecked(const PlacementOrder &order, std::int64_t incarnationStart, OrderReply reply);
+    void onReportAnswer(const EndpointName &id, std::int64_t incarnationStart,
+                        const std::optional<EndpointReport> &report);
+    void recordLoadTime(Duration took);
     void readReport(const EndpointName &id);
     void onReport(const EndpointName &id, PlacedEndpoint &endpoint, const EndpointReport &report);
     void schedulePoll(const EndpointName &id, Duration delay);
     void mergeDemand();
-    void refillModelLoads();
-    bool allowed() const;
-    std::size_t mostRememberedBy(const PlacedEndpoint &endpoint) const;
-    PlacedEndpoint *incarnation(const EndpointName &id, std::int64_t born);
+    void refillModelLoadTokens();
+    bool isOrderAllowed() const;
+    std::size_t maxRemembered(const PlacedEndpoint &endpoint) const;
+    PlacedEndpoint *findIncarnation(const EndpointName &id, std::int64_t start);
     TimePoint now() const;
 
     asio::io_context &context;
@@ -122,17 +125,17 @@
     PlacementState state;
     std::map<VmId, VmDemand> demands;
     std::map<EndpointName, ZoneName> zoneOfEndpoint;
-    std::map<EndpointName, bool> reportOpen;
+    std::map<EndpointName, bool> reportPending;
     std::int64_t fencingNumber = 0;
-    Duration loadTime {milliseconds(200)}; ///< of adapters from the weight store, measured
-    std::int64_t term = 0; ///< rises with begin() and end(), so that late answers are recognised
+    Duration loadTime {milliseconds(200)}; ///< measured load time of adapters from the weight store
+    std::int64_t term = 0; ///< ownership term; incremented by begin() and end(), so that late answers are ignored
     bool isActive = false;
-    PlacementNews news;
+    PlacementUpdates updates;
     bool planRequested = false;
-    TimePoint planned; ///< when the last plan was made
-    double modelLoadRate = 1; ///< a second
-    TimePoint modelLoadsRefilled;
-    std::size_t zones = 1;
+    TimePoint lastPlan; ///< when the last plan was computed
+    double modelLoadRate = 1; ///< allowed rate, per second
+    TimePoint tokensRefilled;
+    std::size_t zoneCount = 1; ///< zones with engines, which share the allowed rate
 };
 
 } // namespace lacewing
--- a/lacewing/placementreports.cpp
+++ b/lacewing/placementreports.cpp
@@ -1,4 +1,4 @@
-// What a placement owner learns from endpoints: whether a load has ended, and their reports.
+// The part of PlacementOwner that checks loads for completion and reads the reports of endpoints.
 
 #include "placementowner.h"
 
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A load that is not seen to end by then is taken to have been lost.
-constexpr Duration longestLoad = milliseconds(4000);
+/// A load that has not completed within this time counts as lost.
+constexpr Duration maxLoadTime = milliseconds(4000);
 
 PlacementOrder makeLoad(const EndpointName &id, const std::string &weights, std::int32_t version)
 {
@@ -27,48 +27,49 @@
 
 } // namespace
 
-void PlacementOwner::scheduleCheck(const PlacementOrder &order, std::int64_t born, Duration delay)
+void PlacementOwner::scheduleCheck(const PlacementOrder &order, std::int64_t incarnationStart, Duration delay)
 {
-    this->runAfter(delay, [this, order, born] { this->checkLoad(order, born); });
+    this->runAfter(delay, [this, order, incarnationStart] { this->checkLoad(order, incarnationStart); });
 }
 
-void PlacementOwner::checkLoad(PlacementOrder order, std::int64_t born)
+void PlacementOwner::checkLoad(PlacementOrder order, std::int64_t incarnationStart)
 {
-    const bool mayOrderNow = this->allowed(); // first: it may end the ownership, and the endpoints with it
-    PlacedEndpoint *known = this->incarnation(order.endpoint, born);
+    const bool mayOrderNow
+        = this->isOrderAllowed(); // called first, because it may end the ownership, which removes the endpoints
+    PlacedEndpoint *known = this->findIncarnation(order.endpoint, incarnationStart);
     if (known == nullptr) {
         return;
     }
     PlacedEndpoint &endpoint = *known;
-    const auto coming = endpoint.coming.find(weightsOf(order));
-    if (coming == endpoint.coming.end()) {
+    const auto loading = endpoint.loading.find(weightsOf(order));
+    if (loading == endpoint.loading.end()) {
         return;
     }
-    if (this->now() - coming->second.since > longestLoad) {
-        // What it holds is not known: after a pause of this process an order planned on the old state made an
-        // endpoint load more than it has room for, in 3 of 40 runs with random faults.
-        endpoint.coming.erase(coming);
+    if (this->now() - loading->second.since > maxLoadTime) {
+        // The endpoint's state is unknown now and must be read. Without that, an order planned on the old state after a
+        // pause of this process made an endpoint load more than it has room for, in 3 of 40 runs with random faults.
+        endpoint.loading.erase(loading);
         endpoint.ready = false;
         this->readReport(order.endpoint);
         return;
     }
-    if (endpoint.orderOpen || !endpoint.ready || !mayOrderNow) {
-        this->scheduleCheck(order, born, checkInterval / 4);
+    if (endpoint.orderPending || !endpoint.ready || !mayOrderNow) {
+        this->scheduleCheck(order, incarnationStart, loadCheckInterval / 4);
         return;
     }
-    endpoint.orderOpen = true;
+    endpoint.orderPending = true;
     order.expectedOrders = endpoint.orders;
     this->loadChecks += 1;
     const std::int64_t sentIn = this->term;
-    const std::string address = endpoint.address; // the endpoint may go within the call
-    this->port.order(order, address, this->fencingNumber, [this, order, sentIn, born](OrderReply reply) {
-        this->run(sentIn, [&] { this->onLoadChecked(order, born, reply); });
+    const std::string address = endpoint.address; // the endpoint may be removed within the call
+    this->port.order(order, address, this->fencingNumber, [this, order, sentIn, incarnationStart](OrderReply reply) {
+        this->runIfCurrent(sentIn, [&] { this->onLoadChecked(order, incarnationStart, reply); });
     });
 }
 
-void PlacementOwner::onLoadChecked(const PlacementOrder &order, std::int64_t born, OrderReply reply)
+void PlacementOwner::onLoadChecked(const PlacementOrder &order, std::int64_t incarnationStart, OrderReply reply)
 {
-    PlacedEndpoint *checked = this->incarnation(order.endpoint, born);
+    PlacedEndpoint *checked = this->findIncarnation(order.endpoint, incarnationStart);
     if (checked == nullptr) {
         return;
     }
@@ -76,14 +77,14 @@
              {{"endpoint", order.endpoint},
               {"weights", weightsOf(order)},
               {"reply", std::to_string(static_cast<int>(reply))}});
-    const bool again = reply == OrderReply::Accepted || reply == OrderReply::Conflict;
-    if (again || reply == OrderReply::NoAnswer) { // one that is carried out late finds the adapter held
-        checked->orderOpen = false;
-        this->scheduleCheck(order, born, checkInterval);
+    const bool retry = reply == OrderReply::Accepted || reply == OrderReply::Conflict;
+    if (retry || reply == OrderReply::NoAnswer) { // a repeated order that is executed late finds the adapter resident
+        checked->orderPending = false;
+        this->scheduleCheck(order, incarnationStart, loadCheckInterval);
         this->requestPlan();
         return;
     }
-    this->onReply(order, born, reply);
+    this->onReply(order, incarnationStart, reply);
 }
 
 void PlacementOwner::schedulePoll(const EndpointName &id, Duration delay)
@@ -94,31 +95,32 @@
 void PlacementOwner::readReport(const EndpointName &id)
 {
     const auto found = this->state.endpoints.find(id);
-    if (found == this->state.endpoints.end() || this->reportOpen[id]) {
+    if (found == this->state.endpoints.end() || this->reportPending[id]) {
         return;
     }
-    this->reportOpen[id] = true;
+    this->reportPending[id] = true;
     this->reportsRead += 1;
     const std::int64_t askedIn = this->term;
-    const std::int64_t born = found->second.born;
-    const std::string address = found->second.address; // the endpoint may go within the call
-    this->port.report(id, address, [this, id, askedIn, born](std::optional<EndpointReport> report) {
-        this->run(askedIn, [&] { this->onReportAnswer(id, born, report); });
+    const std::int64_t incarnationStart = found->second.incarnationStart;
+    const std::string address = found->second.address; // the endpoint may be removed within the call
+    this->port.report(id, address, [this, id, askedIn, incarnationStart](std::optional<EndpointReport> report) {
+        this->runIfCurrent(askedIn, [&] { this->onReportAnswer(id, incarnationStart, report); });
     });
 }
 
-void PlacementOwner::onReportAnswer(const EndpointName &id, std::int64_t born,
+void PlacementOwner::onReportAnswer(const EndpointName &id, std::int64_t incarnationStart,
                                     const std::optional<EndpointReport> &report)
 {
-    PlacedEndpoint *endpoint = this->incarnation(id, born);
+    PlacedEndpoint *endpoint = this->findIncarnation(id, incarnationStart);
     if (endpoint == nullptr) {
         return;
     }
-    this->reportOpen[id] = false;
-    const bool ofOther = report && report->born != 0 && report->born != born; // the list will tell of it
-    if (!report || ofOther) {
+    this->reportPending[id] = false;
+    const bool fromOtherIncarnation
+        = report && report->born != 0 && report->born != incarnationStart; // the fleet will list the other incarnation
+    if (!report || fromOtherIncarnation) {
         endpoint->ready = false;
-        this->schedulePoll(id, failurePause);
+        this->schedulePoll(id, failureRetryDelay);
         return;
     }
     this->onReport(id, *endpoint, *report);
@@ -127,11 +129,11 @@
 void PlacementOwner::onReport(const EndpointName &id, PlacedEndpoint &endpoint, const EndpointReport &report)
 {
     const TimePoint time = this->now();
-    if (report.orders < endpoint.orders) { // older than the last order that was accepted
+    if (report.orders < endpoint.orders) { // the report is older than the last accepted order
         this->schedulePoll(id, pollInterval);
         return;
     }
-    if (endpoint.orderOpen) { // the answer to the order says more
+    if (endpoint.orderPending) { // the answer to the pending order is newer
         return;
     }
     endpoint.orders = report.orders;
@@ -147,20 +149,20 @@
         held[weights] = adapter;
     }
     endpoint.held = std::move(held);
-    std::map<std::string, ComingAdapter> coming;
+    std::map<std::string, LoadingAdapter> loading;
     for (const auto &[weights, version] : report.coming) {
-        const auto known = endpoint.coming.find(weights);
-        coming[weights] = known == endpoint.coming.end() ? ComingAdapter {version, time} : known->second;
-        if (known == endpoint.coming.end()) {
-            this->scheduleCheck(makeLoad(id, weights, version), endpoint.born, checkInterval);
+        const auto known = endpoint.loading.find(weights);
+        loading[weights] = known == endpoint.loading.end() ? LoadingAdapter {version, time} : known->second;
+        if (known == endpoint.loading.end()) {
+            this->scheduleCheck(makeLoad(id, weights, version), endpoint.incarnationStart, loadCheckInterval);
         }
     }
-    endpoint.coming = std::move(coming);
+    endpoint.loading = std::move(loading);
     if (endpoint.busy) {
         this->schedulePoll(id, pollInterval);
     }
     if (changed) {
-        this->news.noteAll(id);
+        this->updates.recordAllChanged(id);
     }
     this->requestPlan();
 }
--- a/lacewing/testing/adapterplantest.cpp
+++ b/lacewing/testing/adapterplantest.cpp
@@ -1,4 +1,4 @@
-// Placement of adapters under the loads it is made for, on small models of endpoints that carry the orders out.
+// Placement plans under the load patterns they are made for, on simulated endpoints that execute the orders.
 
 #include <criterion/criterion.h>
 
@@ -15,7 +15,7 @@
 constexpr TimePoint start {std::chrono::seconds(100)};
 constexpr std::int32_t places = 4;
 
-/// A zone whose endpoints answer each order at once; loads end when the test says so.
+/// A zone whose endpoints answer each order at once; loads complete when the test calls endLoads().
 struct Zone {
     explicit Zone(int endpoints)
     {
@@ -35,47 +35,47 @@
         }
     }
 
-    /// Plans and carries out until nothing more is ordered.
-    std::vector<PlacementOrder> settle()
+    /// Plans and executes orders until a plan is empty.
+    std::vector<PlacementOrder> planUntilStable()
     {
         std::vector<PlacementOrder> all;
         for (int round = 0; round < 100; ++round) {
             const std::vector<PlacementOrder> orders = planOrders(this->state, this->now);
             for (const PlacementOrder &order : orders) {
-                this->carryOut(order);
+                this->execute(order);
                 all.push_back(order);
             }
             if (orders.empty()) {
                 return all;
             }
         }
-        cr_assert(false, "planning does not end");
+        cr_assert(false, "planning does not converge");
         return all;
     }
 
-    void carryOut(const PlacementOrder &order)
+    void execute(const PlacementOrder &order)
     {
-        noteOrdered(this->state, order, this->now);
+        recordOrder(this->state, order, this->now);
         PlacedEndpoint &endpoint = this->state.endpoints.at(order.endpoint);
         cr_assert_eq(order.expectedOrders, endpoint.orders);
         endpoint.orders += 1;
-        endpoint.orderOpen = false;
+        endpoint.orderPending = false;
         if (order.action == PlacementAction::Unload) {
             cr_assert_eq(endpoint.held.at(weightsOf(order)).running, 0, "an adapter in use is unloaded");
             endpoint.held.erase(weightsOf(order));
             rememberUnloaded(endpoint.heldBefore, weightsOf(order), {1, this->now}, rememberedPerPlace * places);
         }
-        cr_assert(adaptersPlaced(endpoint) <= places, "more is loaded than there are places");
+        cr_assert(adaptersPlaced(endpoint) <= places, "more adapters are loaded than there are places");
     }
 
     void endLoads()
     {
         for (auto &[id, endpoint] : this->state.endpoints) {
-            for (const auto &[weights, coming] : endpoint.coming) {
-                endpoint.held[weights] = {std::max(1, coming.version), this->now, 0};
+            for (const auto &[weights, loading] : endpoint.loading) {
+                endpoint.held[weights] = {std::max(1, loading.version), this->now, 0};
                 endpoint.heldBefore.erase(weights);
             }
-            endpoint.coming.clear();
+            endpoint.loading.clear();
         }
     }
 
@@ -83,7 +83,7 @@
     {
         std::set<std::string> ids;
         for (const auto &[id, endpoint] : this->state.endpoints) {
-            if (endpoint.held.contains(weights) || endpoint.coming.contains(weights)) {
+            if (endpoint.held.contains(weights) || endpoint.loading.contains(weights)) {
                 ids.insert(id);
             }
         }
@@ -96,11 +96,11 @@
 
 } // namespace
 
-Test(adapterplan, aWantedAdapterIsLoadedOnceAtItsHome)
+Test(adapterplan, aRequestedAdapterIsLoadedOnceAtItsHome)
 {
     Zone zone(3);
-    zone.state.wanted["m/a"].waiting = 5;
-    const auto orders = zone.settle();
+    zone.state.demand["m/a"].waiting = 5;
+    const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     std::string home = "e0";
     for (const std::string id : {"e1", "e2"}) {
@@ -110,33 +110,33 @@
     cr_assert_eq(orders[0].model, "m");
     cr_assert_eq(orders[0].adapter, "a");
     zone.endLoads();
-    cr_assert(zone.settle().empty());
+    cr_assert(zone.planUntilStable().empty());
 }
 
 Test(adapterplan, aLoadWithoutAnAnswerYetIsNotOrderedElsewhere)
 {
     Zone zone(3);
-    zone.state.wanted["m/a"].waiting = 5;
+    zone.state.demand["m/a"].waiting = 5;
     const auto orders = planOrders(zone.state, start);
     cr_assert_eq(orders.size(), 1);
-    noteOrdered(zone.state, orders[0], start); // and no answer
+    recordOrder(zone.state, orders[0], start); // and no answer
     cr_assert(planOrders(zone.state, start).empty());
 }
 
-Test(adapterplan, loadsInTransitAreBoundedAndMostCallersGoFirst)
+Test(adapterplan, loadsInFlightAreBoundedAndMostWaitingRequestsGoFirst)
 {
     Zone zone(3);
     for (int index = 0; index < 30; ++index) {
-        zone.state.wanted["m/a" + std::to_string(index)].waiting = index;
+        zone.state.demand["m/a" + std::to_string(index)].waiting = index;
     }
-    const auto orders = zone.settle();
+    const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 3); // 0.85 for each of three endpoints, rounded up
     for (const PlacementOrder &order : orders) {
         cr_assert_geq(std::stoi(order.adapter.substr(1)), 27);
     }
 }
 
-Test(adapterplan, thePlaceIsTakenFromTheLongestUnusedAndNeverFromOneInUse)
+Test(adapterplan, theLeastRecentlyUsedIdleAdapterIsUnloaded)
 {
     Zone zone(1);
     PlacedEndpoint &endpoint = zone.state.endpoints.at("e0");
@@ -145,8 +145,8 @@
     }
     endpoint.held["m/h0"].running = 1;
     zone.now = start + std::chrono::seconds(50);
-    zone.state.wanted["m/a"].waiting = 1;
-    const auto orders = zone.settle();
+    zone.state.demand["m/a"].waiting = 1;
+    const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 2);
     cr_assert_eq(orders[0].action, PlacementAction::Unload);
     cr_assert_eq(orders[0].adapter, "h1");
@@ -161,13 +161,14 @@
             endpoint.held["m/h" + std::to_string(index)] = {1, start, 1};
         }
     }
-    zone.state.wanted["m/a"].waiting = 9;
-    cr_assert(zone.settle().empty());
+    zone.state.demand["m/a"].waiting = 9;
+    cr_assert(zone.planUntilStable().empty());
 }
 
-Test(adapterplan, aRareAdapterComesBackToWhereItWas)
+Test(adapterplan, aRareAdapterReturnsToItsFormerEndpoint)
 {
-    // A storm of rare adapters: each round other ones are wanted; those that return go where they were.
+    // Many rare adapters, of which each round requests another one. An adapter that is requested again is loaded on the
+    // endpoint that has it in host memory.
     Zone zone(3);
     std::map<std::string, std::string> last;
     std::mt19937 random(3);
@@ -176,10 +177,10 @@
     for (int round = 0; round < 400; ++round) {
         zone.now += std::chrono::milliseconds(300);
         const std::string weights = "m/a" + std::to_string(random() % 60);
-        zone.state.wanted.clear();
-        zone.state.wanted[weights].waiting = 1;
+        zone.state.demand.clear();
+        zone.state.demand[weights].waiting = 1;
         const bool held = !zone.holders(weights).empty();
-        zone.settle();
+        zone.planUntilStable();
         zone.endLoads();
         const std::string place = *zone.holders(weights).begin();
         if (!held && last.contains(weights)) {
@@ -197,42 +198,42 @@
     Zone zone(3);
     zone.state.endpoints.at("e1").held["m/a"] = {1, start, 7};
     nameVersion(zone.state.versions, "m/a", 2, start);
-    const auto orders = zone.settle();
+    const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].action, PlacementAction::Load);
     cr_assert_eq(orders[0].version, 2);
     cr_assert_neq(orders[0].endpoint, "e1");
     zone.endLoads();
-    cr_assert(zone.settle().empty(), "the old copy is left to its runs");
+    cr_assert(zone.planUntilStable().empty(), "the old copy stays while requests run on it");
     zone.state.endpoints.at("e1").held.at("m/a").running = 0;
-    const auto after = zone.settle();
+    const auto after = zone.planUntilStable();
     cr_assert_eq(after.size(), 1);
     cr_assert_eq(after[0].action, PlacementAction::Unload);
     cr_assert_eq(after[0].endpoint, "e1");
 }
 
-Test(adapterplan, anIdleOldVersionIsReplacedWhereItIs)
+Test(adapterplan, anIdleOldVersionIsReplacedInPlace)
 {
     Zone zone(1);
     zone.state.endpoints.at("e0").held["m/a"] = {1, start, 0};
     nameVersion(zone.state.versions, "m/a", 2, start);
-    const auto orders = zone.settle();
+    const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].action, PlacementAction::Load);
     cr_assert_eq(orders[0].version, 2);
 }
 
-Test(adapterplan, anEmptyEndpointGetsTheModelWithinTheRate)
+Test(adapterplan, modelLoadsOfEmptyEndpointsAreRateLimited)
 {
     Zone zone(3);
     zone.state.endpoints.at("e0").held.clear();
     zone.state.endpoints.at("e1").held.clear();
-    zone.state.modelLoads = 1;
-    auto orders = zone.settle();
+    zone.state.modelLoadTokens = 1;
+    auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     cr_assert(orders[0].adapter.empty());
-    zone.state.modelLoads = 1;
-    cr_assert_eq(zone.settle().size(), 1);
+    zone.state.modelLoadTokens = 1;
+    cr_assert_eq(zone.planUntilStable().size(), 1);
 }
 
 Test(adapterplan, aPopularAdapterGetsACopyAndAnIdleOneDoesNot)
@@ -240,60 +241,62 @@
     Zone zone(3);
     zone.state.endpoints.at("e0").held["m/a"] = {1, start, 9};
     zone.state.endpoints.at("e0").held["m/b"] = {1, start, 1};
-    cr_assert(zone.settle().empty());
+    cr_assert(zone.planUntilStable().empty());
     zone.state.endpoints.at("e0").held["m/a"].running = 20;
-    const auto orders = zone.settle();
+    const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].adapter, "a");
     cr_assert_neq(orders[0].endpoint, "e0");
 }
 
-Test(adapterplan, nothingIsOrderedFromAnEndpointWhoseStateIsNotKnown)
+Test(adapterplan, nothingIsOrderedFromAnEndpointThatIsNotReady)
 {
     Zone zone(1);
     zone.state.endpoints.at("e0").ready = false;
-    zone.state.wanted["m/a"].waiting = 3;
-    cr_assert(zone.settle().empty());
+    zone.state.demand["m/a"].waiting = 3;
+    cr_assert(zone.planUntilStable().empty());
 }
 
-Test(adapterplan, theMeasuredLoadTimeFallsBackAfterAnOutage)
+Test(adapterplan, theMeasuredLoadTimeDecreasesAfterAnOutage)
 {
-    // Looks without answers made loads seem to take half a second; each look then finds the load ended long ago.
+    // Guards against a load time that stays too long: checks without an answer during an outage made loads seem to take
+    // half a second, and later checks came so late that they never measured less.
     const Duration real = milliseconds(250);
     Duration measured = milliseconds(540);
     for (int load = 0; load < 20; ++load) {
-        Duration look = firstCheckAfter(measured);
-        while (look < real) {
-            look += milliseconds(25);
+        Duration check = firstCheckDelay(measured);
+        while (check < real) {
+            check += milliseconds(25);
         }
-        measured = followLoadTime(measured, look);
+        measured = updateLoadTime(measured, check);
     }
     cr_assert_lt(measured, real + milliseconds(40));
 }
 
 namespace {
 
-void want(Zone &zone, const std::string &weights, std::int32_t rank, Duration waited)
+void addDemand(Zone &zone, const std::string &weights, std::int32_t rank, Duration waited)
 {
-    WantedWeights wanted;
-    wanted.waiting = 1;
-    wanted.rank = rank;
-    wanted.since = zone.now - waited;
-    zone.state.wanted[weights] = wanted;
+    WeightsDemand demand;
+    demand.waiting = 1;
+    demand.rank = rank;
+    demand.since = zone.now - waited;
+    zone.state.demand[weights] = demand;
 }
 
 } // namespace
 
-Test(adapterplan, underAStormTheMostUrgentGoFirstThenThoseWhoCanStillBeInTime)
+Test(adapterplan, underOverloadTheMostUrgentGoFirstThenTheMostRecent)
 {
-    // More rare adapters than the weight store brings: by name, or oldest first, all are late.
+    // More rare adapters are requested than the weight store can load in time. If they are loaded by name or oldest
+    // first, all requests are late.
     Zone zone(4);
-    constexpr int storm = 30;
-    for (int number = 0; number < storm; ++number) {
-        want(zone, "m/a" + std::to_string(100 + number), 2, milliseconds(20) * number);
+    constexpr int requested = 30;
+    for (int number = 0; number < requested; ++number) {
+        addDemand(zone, "m/a" + std::to_string(100 + number), 2, milliseconds(20) * number);
     }
-    want(zone, "m/z-urgent", 0, milliseconds(300));
-    const auto orders = zone.settle();
+    addDemand(zone, "m/z-urgent", 0, milliseconds(300));
+    const auto orders = zone.planUntilStable();
     std::set<std::string> loaded;
     for (const PlacementOrder &order : orders) {
         loaded.insert(weightsOf(order));
@@ -301,10 +304,10 @@
     cr_assert_eq(loaded, (std::set<std::string> {"m/z-urgent", "m/a100", "m/a101", "m/a102"}));
 }
 
-Test(adapterplan, underAStormWhatCallersWaitForGoesBeforeCopiesAndNewVersionsThatNobodyWaitsFor)
+Test(adapterplan, underOverloadRequestedAdaptersGoBeforeExtraCopiesAndNewVersions)
 {
-    // Engines with few slots, where a few streams of a popular adapter ask for a further copy of it: those went before
-    // all callers but the most urgent ones.
+    // Guards against extra copies that delay requested adapters. On engines with few slots a few streams of a popular
+    // adapter cause an extra copy, which used to be loaded before all but the most urgent requests.
     Zone zone(4);
     for (int number = 0; number < 3; ++number) {
         const std::string weights = "m/popular" + std::to_string(number);
@@ -314,15 +317,15 @@
         endpoint.held["m/replaced" + std::to_string(number)] = {1, start, 2};
         zone.state.versions["m/replaced" + std::to_string(number)] = {2, start};
     }
-    constexpr int storm = 4;
+    constexpr int requested = 4;
     std::set<std::string> awaited;
-    for (int number = 0; number < storm; ++number) {
+    for (int number = 0; number < requested; ++number) {
         const std::string weights = "m/a" + std::to_string(number);
-        want(zone, weights, 1, milliseconds(10));
+        addDemand(zone, weights, 1, milliseconds(10));
         awaited.insert(weights);
     }
     std::set<std::string> loaded;
-    for (const PlacementOrder &order : zone.settle()) { // four loads may be in transit
+    for (const PlacementOrder &order : zone.planUntilStable()) { // four loads may be in flight
         loaded.insert(weightsOf(order));
     }
     cr_assert_eq(loaded, awaited);
@@ -334,14 +337,14 @@
     for (const char *busy : {"e0", "e2"}) {
         zone.state.endpoints.at(busy).held["m/x"] = {1, start, 1};
     }
-    zone.state.endpoints.at("e1").running = 40; // of one adapter: they share its place
+    zone.state.endpoints.at("e1").running = 40; // requests on the same weights share a place
     zone.state.endpoints.at("e1").held["m"].running = 40;
-    want(zone, "m/a", 1, Duration {0});
-    zone.settle();
+    addDemand(zone, "m/a", 1, Duration {0});
+    zone.planUntilStable();
     cr_assert_eq(zone.holders("m/a"), (std::set<std::string> {"e1"}));
 }
 
-Test(adapterplan, aPlaceWhereTheAdapterIsRememberedIsWorthAShortWait)
+Test(adapterplan, aPlaceOnAnEndpointThatRemembersTheAdapterIsWorthAShortWait)
 {
     Zone zone(2);
     PlacedEndpoint &before = zone.state.endpoints.at("e0");
@@ -349,22 +352,22 @@
     for (int number = 0; number < places; ++number) {
         before.held["m/used" + std::to_string(number)] = {1, start, 1};
     }
-    want(zone, "m/a", 1, Duration {0});
-    cr_assert(zone.settle().empty(), "all places there are in use");
+    addDemand(zone, "m/a", 1, Duration {0});
+    cr_assert(zone.planUntilStable().empty(), "all places there are in use");
     before.held.at("m/used0").running = 0;
-    zone.settle();
+    zone.planUntilStable();
     cr_assert_eq(zone.holders("m/a"), (std::set<std::string> {"e0"}));
 
     Zone full(2);
     full.state.endpoints.at("e0") = before;
-    full.state.endpoints.at("e0").coming.clear();
+    full.state.endpoints.at("e0").loading.clear();
     full.state.endpoints.at("e0").held["m/used0"] = {1, start, 1};
-    want(full, "m/a", 1, waitForRemembered + milliseconds(1));
-    full.settle();
-    cr_assert_eq(full.holders("m/a"), (std::set<std::string> {"e1"}), "not for longer");
+    addDemand(full, "m/a", 1, maxWaitForRemembered + milliseconds(1));
+    full.planUntilStable();
+    cr_assert_eq(full.holders("m/a"), (std::set<std::string> {"e1"}), "the wait is bounded");
 }
 
-Test(adapterplan, aRememberedCopyOfAnOldVersionIsNotFast)
+Test(adapterplan, aRememberedCopyOfAnOldVersionIsNotUsed)
 {
     HeldBefore before;
     rememberUnloaded(before, "m/a", {1, start}, 2);
@@ -372,19 +375,19 @@
     cr_assert_null(findRemembered(before, "m/a", 2));
     rememberUnloaded(before, "m/b", {1, start + milliseconds(1)}, 2);
     rememberUnloaded(before, "m/c", {1, start + milliseconds(2)}, 2);
-    cr_assert_null(findRemembered(before, "m/a", 0), "the one unloaded first is forgotten");
+    cr_assert_null(findRemembered(before, "m/a", 0), "the adapter that was unloaded first is removed");
     cr_assert_not_null(findRemembered(before, "m/b", 0));
 }
 
-Test(adapterplan, idlePlacesAreThoseThatNoRequestUsesOrWaitsFor)
+Test(adapterplan, idlePlacesAreNeitherUsedNorWaitedFor)
 {
     Zone zone(2);
     cr_assert_eq(idlePlaces(zone.state), 2 * places);
     zone.state.endpoints.at("e0").held["m/a"] = {1, start, 3};
     zone.state.endpoints.at("e0").held["m/idle"] = {1, start, 0};
-    zone.state.endpoints.at("e0").coming["m/b"] = {1, start};
+    zone.state.endpoints.at("e0").loading["m/b"] = {1, start};
     cr_assert_eq(idlePlaces(zone.state), 2 * places - 2);
-    want(zone, "m/idle", 1, Duration {0});
+    addDemand(zone, "m/idle", 1, Duration {0});
     cr_assert_eq(idlePlaces(zone.state), 2 * places - 3);
     zone.state.endpoints.at("e1").ready = false;
     cr_assert_eq(idlePlaces(zone.state), places - 3);
--- a/lacewing/testing/adapterversionstest.cpp
+++ b/lacewing/testing/adapterversionstest.cpp
@@ -1,4 +1,4 @@
-// Which version of an adapter a request may begin on after a new one was named.
+// Which version of an adapter a request may start on after a new version was published.
 
 #include <criterion/criterion.h>
 
@@ -33,10 +33,10 @@
     cr_assert_eq(oldestUsableVersion(versions, "m/a", grace, start + grace), 5);
 }
 
-Test(adapterversions, noRequestCanBeginLaterThanAllowedOnTheOldVersion)
+Test(adapterversions, noRequestStartsLaterThanAllowedOnTheOldVersion)
 {
-    // A request was sent 2.2 s after a version was named, stood 3.0 s in the queue of its engine, and so began on the
-    // old version 5.2 s after the new one was acknowledged, 0.2 s too late.
+    // Guards against a late start on the old version: a request that was sent 2.2 s after a version was published
+    // waited 3.0 s in the queue of its engine and so started 5.2 s after the acknowledgement, 0.2 s later than allowed.
     constexpr Duration allowed = milliseconds(5000);
     for (const Duration longestStart :
          {milliseconds(2000), milliseconds(3200), milliseconds(4000), milliseconds(15000)}) {
@@ -49,11 +49,11 @@
             cr_assert(!mayUseOld || sent + longestStart <= allowed);
         }
     }
-    cr_assert_eq(oldVersionGrace(allowed, Duration {0}), Duration {0}, "a wait without a bound has no grace");
+    cr_assert_eq(oldVersionGrace(allowed, Duration {0}), Duration {0}, "no grace if the start delay is not bounded");
     cr_assert_gt(oldVersionGrace(allowed, milliseconds(2000)), Duration {0});
 }
 
-Test(adapterversions, aVersionFoundAtTheStartHasNoGrace)
+Test(adapterversions, aVersionFoundAtStartupHasNoGrace)
 {
     AdapterVersions versions;
     cr_assert(nameVersion(versions, "m/a", 2, TimePoint {}));
--- a/lacewing/testing/placementnewstest.cpp
+++ b/lacewing/testing/placementnewstest.cpp
@@ -1,7 +1,9 @@
-// Differences told to other VMs, held against the state itself, with datagrams that are lost or overtaken.
+// Compares the state that other VMs derive from placement updates with the owner's state, with datagrams that are lost
+// or reordered.
 //
-// A difference that was missed used to be hidden by the next one, until the endpoint's turn to be told in full: up to
-// four seconds in which a request waited for an adapter that was held, or was sent where it was not.
+// Guards against a lost update that the next one hides: other VMs kept the wrong state for up to four seconds, until
+// the endpoint's full state was sent in turn. Meanwhile requests waited for a resident adapter, or were sent to an
+// endpoint that did not hold it.
 
 #include "placementnews.h"
 
@@ -21,7 +23,7 @@
 
 namespace {
 
-/// What a VM does with a notice.
+/// Applies a notice as a receiving VM does.
 void apply(Fleet &fleet, const wire::PlacementNotice &notice)
 {
     for (const wire::EndpointHoldings &holdings : notice.endpoints) {
@@ -37,7 +39,7 @@
     }
 }
 
-bool same(const Fleet &fleet, const PlacementNews::Endpoints &endpoints)
+bool sameHoldings(const Fleet &fleet, const PlacementUpdates::Endpoints &endpoints)
 {
     for (const auto &[id, endpoint] : endpoints) {
         HeldVersions held;
@@ -51,8 +53,8 @@
     return true;
 }
 
-struct News {
-    News() : news(context, clock)
+struct Sender {
+    Sender() : updates(context, clock)
     {
         for (int number = 0; number < 20; ++number) {
             const EndpointName id = "i-" + std::to_string(number);
@@ -63,7 +65,7 @@
         }
     }
 
-    /// A load or an unload somewhere.
+    /// Loads or unloads a random adapter on a random endpoint.
     void change(std::mt19937 &random)
     {
         const EndpointName id = "i-" + std::to_string(random() % 20);
@@ -71,17 +73,17 @@
         PlacedEndpoint &endpoint = this->endpoints[id];
         endpoint.orders += 1;
         if (endpoint.held.erase(weights) > 0) {
-            this->news.noteLost(id, weights);
+            this->updates.recordLost(id, weights);
         } else {
             endpoint.held[weights].version = 1 + static_cast<std::int32_t>(random() % 3);
-            this->news.noteGained(id, weights, endpoint.held[weights].version);
+            this->updates.recordGained(id, weights, endpoint.held[weights].version);
         }
     }
 
     asio::io_context context;
     RuntimeClock clock;
-    PlacementNews news;
-    PlacementNews::Endpoints endpoints;
+    PlacementUpdates updates;
+    PlacementUpdates::Endpoints endpoints;
     Fleet fleet;
 };
 
@@ -101,7 +103,7 @@
     NewsProgress progress;
 };
 
-constexpr std::size_t largestUnfragmented = 1400;
+constexpr std::size_t maxUnfragmentedBytes = 1400;
 
 std::size_t sizeInDatagram(const wire::PlacementNotice &notice)
 {
@@ -116,125 +118,125 @@
 
 } // namespace
 
-Test(placementnews, differencesAloneKeepAnotherVmUpToDate)
+Test(placementnews, differencesKeepAnotherVmUpToDate)
 {
-    News sender;
+    Sender sender;
     Receiver receiver {sender.fleet, {}};
     std::mt19937 random(1);
     for (int round = 0; round < 500; ++round) {
         for (int count = 0; count < 5; ++count) {
             sender.change(random);
         }
-        for (const wire::PlacementNotice &notice : sender.news.takeChanges(sender.endpoints)) {
+        for (const wire::PlacementNotice &notice : sender.updates.takeChanges(sender.endpoints)) {
             receiver.receive(notice);
         }
-        cr_assert(same(sender.fleet, sender.endpoints), "round %d", round);
+        cr_assert(sameHoldings(sender.fleet, sender.endpoints), "round %d", round);
         cr_assert_not(hasGap(receiver.progress));
     }
 }
 
-Test(placementnews, whatWasLostOrOvertakenIsNoticedAndMendedByOneAnswer)
+Test(placementnews, lostAndReorderedUpdatesAreDetectedAndRepairedByOneAnswer)
 {
     for (unsigned seed = 1; seed <= 60; ++seed) {
-        News sender;
+        Sender sender;
         Receiver receiver {sender.fleet, {}};
         std::mt19937 random(seed);
-        std::vector<wire::PlacementNotice> onTheWay;
+        std::vector<wire::PlacementNotice> inFlight;
         for (int round = 0; round < 100; ++round) {
             sender.change(random);
-            for (const wire::PlacementNotice &notice : sender.news.takeChanges(sender.endpoints)) {
+            for (const wire::PlacementNotice &notice : sender.updates.takeChanges(sender.endpoints)) {
                 if (random() % 4 != 0) {
-                    onTheWay.push_back(notice);
+                    inFlight.push_back(notice);
                 }
             }
-            std::shuffle(onTheWay.begin(), onTheWay.end(), random);
-            while (onTheWay.size() > random() % 4) {
-                receiver.receive(onTheWay.back());
-                onTheWay.pop_back();
+            std::shuffle(inFlight.begin(), inFlight.end(), random);
+            while (inFlight.size() > random() % 4) {
+                receiver.receive(inFlight.back());
+                inFlight.pop_back();
             }
             if (random() % 8 == 0 && hasGap(receiver.progress)) {
                 for (const wire::PlacementNotice &notice :
-                     sender.news.since(sender.endpoints, receiver.progress.complete)) {
+                     sender.updates.noticesSince(sender.endpoints, receiver.progress.complete)) {
                     receiver.receive(notice);
                 }
             }
         }
-        for (const wire::PlacementNotice &notice : onTheWay) {
+        for (const wire::PlacementNotice &notice : inFlight) {
             receiver.receive(notice);
         }
-        wire::PlacementNotice regular = sender.news.next(sender.endpoints);
-        regular.endpoints.clear(); // what it retells is a help, and nothing may rest on it
+        wire::PlacementNotice regular = sender.updates.nextNotice(sender.endpoints);
+        regular.endpoints.clear(); // the repair must not depend on the full states that it repeats
         receiver.receive(regular);
         if (hasGap(receiver.progress)) {
             for (const wire::PlacementNotice &notice :
-                 sender.news.since(sender.endpoints, receiver.progress.complete)) {
+                 sender.updates.noticesSince(sender.endpoints, receiver.progress.complete)) {
                 receiver.receive(notice);
             }
         }
         cr_assert_not(hasGap(receiver.progress), "seed %u", seed);
-        cr_assert(same(sender.fleet, sender.endpoints), "seed %u", seed);
+        cr_assert(sameHoldings(sender.fleet, sender.endpoints), "seed %u", seed);
     }
 }
 
-Test(placementnews, aVmThatStartsLaterLearnsAllFromOneAnswer)
+Test(placementnews, aVmThatStartsLaterGetsTheFullStateFromOneAnswer)
 {
-    News sender;
+    Sender sender;
     std::mt19937 random(7);
     for (int round = 0; round < 400; ++round) {
         sender.change(random);
-        sender.news.takeChanges(sender.endpoints);
+        sender.updates.takeChanges(sender.endpoints);
     }
     Receiver receiver {sender.fleet, {}};
-    receiver.receive(sender.news.next(sender.endpoints));
+    receiver.receive(sender.updates.nextNotice(sender.endpoints));
     cr_assert(hasGap(receiver.progress));
-    const std::vector<wire::PlacementNotice> answer = sender.news.since(sender.endpoints, 0);
+    const std::vector<wire::PlacementNotice> answer = sender.updates.noticesSince(sender.endpoints, 0);
     cr_assert_gt(answer.size(), 1U);
     for (const wire::PlacementNotice &notice : answer) {
         receiver.receive(notice);
     }
     cr_assert_not(hasGap(receiver.progress));
-    cr_assert(same(sender.fleet, sender.endpoints));
+    cr_assert(sameHoldings(sender.fleet, sender.endpoints));
 }
 
-Test(placementnews, noNoticeIsLargerThanALinkCarriesInOnePiece)
+Test(placementnews, noNoticeIsLargerThanALinkCarriesUnfragmented)
 {
-    News sender;
+    Sender sender;
     std::mt19937 random(8);
     const auto check
-        = [](const wire::PlacementNotice &notice) { cr_assert_leq(sizeInDatagram(notice), largestUnfragmented); };
+        = [](const wire::PlacementNotice &notice) { cr_assert_leq(sizeInDatagram(notice), maxUnfragmentedBytes); };
     for (int round = 0; round < 40; ++round) {
         for (int count = 0; count < 200; ++count) {
             sender.change(random);
         }
-        const auto changes = sender.news.takeChanges(sender.endpoints);
+        const auto changes = sender.updates.takeChanges(sender.endpoints);
         std::for_each(changes.begin(), changes.end(), check);
-        check(sender.news.next(sender.endpoints));
+        check(sender.updates.nextNotice(sender.endpoints));
     }
-    const auto all = sender.news.since(sender.endpoints, 0);
+    const auto all = sender.updates.noticesSince(sender.endpoints, 0);
     std::for_each(all.begin(), all.end(), check);
 }
 
-Test(placementnews, whatIsToldRegularlyGrowsByAByteWithEachEndpoint)
+Test(placementnews, theRegularNoticeGrowsByAByteWithEachEndpoint)
 {
     const auto regularSize = [](int endpoints) {
-        News sender;
+        Sender sender;
         for (int number = 0; number < endpoints; ++number) {
             const EndpointName id = "i-" + std::to_string(10000 + number);
             sender.endpoints[id].ready = true;
             sender.endpoints[id].running = 12;
-            sender.news.noteGained(id, "m/a1", 1);
+            sender.updates.recordGained(id, "m/a1", 1);
         }
-        sender.news.takeChanges(sender.endpoints);
-        return sizeInDatagram(sender.news.next(sender.endpoints));
+        sender.updates.takeChanges(sender.endpoints);
+        return sizeInDatagram(sender.updates.nextNotice(sender.endpoints));
     };
     constexpr int few = 100;
     constexpr int many = 600;
     cr_assert_leq(regularSize(many) - regularSize(few), many - few + 2);
 }
 
-Test(placementnews, loadsAreToldAtTheIndexOfTheirEndpoint)
+Test(placementnews, loadsAreSentAtTheIndexOfTheirEndpoint)
 {
-    News sender;
+    Sender sender;
     std::mt19937 random(9);
     std::map<std::int32_t, EndpointName> byIndex;
     for (int count = 0; count < 300; ++count) {
@@ -244,34 +246,34 @@
     for (auto &[id, endpoint] : sender.endpoints) {
         endpoint.running = running++;
     }
-    for (const wire::PlacementNotice &notice : sender.news.takeChanges(sender.endpoints)) {
+    for (const wire::PlacementNotice &notice : sender.updates.takeChanges(sender.endpoints)) {
         for (const wire::EndpointHoldings &holdings : notice.endpoints) {
             byIndex[holdings.index] = holdings.endpoint;
         }
     }
     sender.endpoints.at(byIndex.at(3)).ready = false;
     sender.endpoints.at(byIndex.at(4)).running = 100000;
-    const std::string loads = sender.news.next(sender.endpoints).loads;
+    const std::string loads = sender.updates.nextNotice(sender.endpoints).loads;
     cr_assert_eq(loads.size(), byIndex.size());
     for (const auto &[index, id] : byIndex) {
-        const auto told = static_cast<unsigned char>(loads.at(static_cast<std::size_t>(index)));
+        const auto load = static_cast<unsigned char>(loads.at(static_cast<std::size_t>(index)));
         const int expected = index == 3 ? unknownLoad : index == 4 ? unknownLoad - 1 : sender.endpoints.at(id).running;
-        cr_assert_eq(told, expected);
+        cr_assert_eq(load, expected);
     }
 }
 
 Test(placementnews, manyChangesGoIntoOneNotice)
 {
-    News sender;
-    int told = 0;
-    sender.news.onDue = [&] {
-        told += 1;
-        sender.news.takeChanges(sender.endpoints);
+    Sender sender;
+    int sent = 0;
+    sender.updates.onDue = [&] {
+        sent += 1;
+        sender.updates.takeChanges(sender.endpoints);
     };
     std::mt19937 random(3);
     for (int count = 0; count < 60; ++count) {
         sender.change(random);
     }
     sender.context.run_for(milliseconds(300));
-    cr_assert_eq(told, 1);
+    cr_assert_eq(sent, 1);
 }
--- a/lacewing/testing/placementownertest.cpp
+++ b/lacewing/testing/placementownertest.cpp
@@ -1,4 +1,4 @@
-// The placement owner between a platform that answers at once and VMs that report, on an event loop.
+// The placement owner on an event loop, with a simulated platform and demand reports of VMs.
 
 #include "placementowner.h"
 
@@ -16,9 +16,9 @@
 namespace {
 
 constexpr int endpointCount = 20;
-constexpr int adapterPlacesOfOne = 18;
+constexpr int adapterPlacesPerEndpoint = 18;
 
-/// A zone with endpoints that hold a model and have room for adapters.
+/// A zone with endpoints that hold a model and have free adapter places.
 struct Zone {
     Zone() : owner(context, clock, port, "z")
     {
@@ -40,7 +40,7 @@
         };
         EngineSpec engine;
         engine.slots = 32;
-        engine.adapterSlots = adapterPlacesOfOne;
+        engine.adapterSlots = adapterPlacesPerEndpoint;
         engine.weightsMegabytes = 67000;
         engine.models.push_back({"m", 65000, 12, milliseconds(600)});
         ServiceSpec service;
@@ -78,7 +78,7 @@
     PlacementOwner owner;
 };
 
-wire::DemandReport wants(int first, int count)
+wire::DemandReport makeDemand(int first, int count)
 {
     wire::DemandReport report;
     for (int number = first; number < first + count; ++number) {
@@ -92,14 +92,15 @@
 
 } // namespace
 
-Test(placementowner, reportsThatComeTogetherAreMetByOnePlan)
+Test(placementowner, reportsThatArriveTogetherAreHandledByOnePlan)
 {
-    // 70 VMs report four times a second each, and each order's answer asks for a plan as well.
+    // Guards against a plan for each report: 70 VMs report four times a second each, and each answer to an order
+    // requests a plan as well.
     constexpr int vms = 70;
     Zone zone;
     const std::int64_t before = zone.owner.plansMade;
     for (int vm = 0; vm < vms; ++vm) {
-        zone.owner.noteDemand("vm" + std::to_string(vm), "z", wants(4 * vm, 4));
+        zone.owner.noteDemand("vm" + std::to_string(vm), "z", makeDemand(4 * vm, 4));
     }
     zone.run(milliseconds(1));
     cr_assert_leq(zone.owner.plansMade - before, 1);
@@ -112,62 +113,56 @@
     cr_assert_leq(zone.owner.plansMade - before, 10);
 }
 
-Test(placementowner, whatWasOrderedBeforeARestartIsNotBelievedAfterIt)
+Test(placementowner, answersFromBeforeARestartAreIgnored)
 {
-    // An endpoint starts again under its id while an order to it has no answer. The answer comes late, and must not be
-    // taken for one of the new incarnation, which holds nothing.
+    // An endpoint restarts under the same id while an order to it is pending. The late answer must not be applied to
+    // the new incarnation, which does not hold the adapter.
     Zone zone;
     zone.answers = false;
-    zone.owner.noteDemand("vm", "z", wants(1, 1));
+    zone.owner.noteDemand("vm", "z", makeDemand(1, 1));
     zone.run(milliseconds(40));
     cr_assert_eq(zone.orders.size(), 1);
     const EndpointName id = zone.orders.front().endpoint;
     EndpointEntry restarted = zone.fleet.endpoints.at(id).entry;
     restarted.born = 2000;
     putEndpoint(zone.fleet, restarted, zone.clock.now());
-    zone.reportBorn = 1000; // of before: the endpoint has a report of the former incarnation in transit
+    zone.reportBorn = 1000; // a report of the previous incarnation is still in flight
     zone.owner.sync(zone.fleet, zone.config, {});
     zone.run(milliseconds(40));
     zone.unanswered.front()(OrderReply::Done);
     const auto holdings = [&] {
         std::size_t held = 0;
         for (const wire::PlacementNotice &notice : zone.owner.newsSince(0)) {
-            for (const wire::EndpointHoldings &told : notice.endpoints) {
-                held += told.endpoint == id ? told.held.size() : 0;
+            for (const wire::EndpointHoldings &update : notice.endpoints) {
+                held += update.endpoint == id ? update.held.size() : 0;
             }
         }
         return held;
     };
-    cr_assert_eq(holdings(), 0, "neither the late answer nor the old report counts");
+    cr_assert_eq(holdings(), 0, "the late answer and the old report are ignored");
     zone.reportBorn = 2000;
-    zone.run(failurePause + milliseconds(50));
-    cr_assert_eq(holdings(), 1, "the model, as the new incarnation reports");
+    zone.run(failureRetryDelay + milliseconds(50));
+    cr_assert_eq(holdings(), 1, "the model that the new incarnation reports");
 }
 
-Test(placementowner, anOwnershipThatEndsAtAnyQuestionWhetherToOrderEndsNothingElse)
+Test(placementowner, theOwnershipMayEndInAnyCallOfMayOrder)
 {
-    // A daemon ended by itself, at once after these lines:
-    //
-    //   event=placement_owner zone=luzon-b fencing=2 owner=no
-    //   event=ownership_lost zone=luzon-b reason=larger_vm
-    //   lacewing-entry: map::at
-    //
-    // A load was being checked. The question whether the owner may order looked after the claim first, gave the zone up
-    // to a larger VM, and so cleared the endpoints whose load was being checked; the next check was then set for an
-    // endpoint that was no longer there. Here the ownership ends at the first question, at the second, and so on.
-    constexpr int mostQuestions = 40;
-    for (int ending = 1; ending <= mostQuestions; ++ending) {
+    // Guards against a crash (lacewing-entry: map::at) while a load is checked. The check calls mayOrder, which can
+    // give the zone up to a larger VM and so clear the endpoints; the next check was then scheduled for an endpoint
+    // that was no longer there. Here the ownership ends in the first call of mayOrder, in the second, and so on.
+    constexpr int maxCalls = 40;
+    for (int lastCall = 1; lastCall <= maxCalls; ++lastCall) {
         Zone zone;
-        int questions = 0;
+        int calls = 0;
         zone.owner.mayOrder = [&] {
-            questions += 1;
-            if (questions == ending) {
+            calls += 1;
+            if (calls == lastCall) {
                 zone.owner.end();
             }
-            return questions < ending;
+            return calls < lastCall;
         };
-        zone.owner.noteDemand("vm", "z", wants(1, 4));
+        zone.owner.noteDemand("vm", "z", makeDemand(1, 4));
         zone.run(milliseconds(400));
-        cr_assert_eq(zone.owner.active(), questions < ending);
+        cr_assert_eq(zone.owner.active(), calls < lastCall);
     }
 }
--- a/lacewing/testing/wantedzonetest.cpp
+++ b/lacewing/testing/wantedzonetest.cpp
@@ -1,4 +1,4 @@
-// Which zone is asked for an adapter, and how long a request waits for it.
+// Which zone is asked for an adapter, and how long a request waits for the adapter.
 
 #include <criterion/criterion.h>
 
@@ -26,32 +26,32 @@
 
 } // namespace
 
-Test(wantedzone, theZoneThatRemembersThenTheHomeAsLongAsTheyHaveAPlace)
+Test(wantedzone, prefersIdlePlacesThenHostMemoryThenHome)
 {
     const std::array all {makeOffer("a", 9, 4), makeOffer("b", 5, 4, start), makeOffer("c", 7, 4)};
     cr_assert_eq(asked(all), "b");
     const std::array forgotten {makeOffer("a", 9, 4), makeOffer("b", 5, 4), makeOffer("c", 7, 4)};
     cr_assert_eq(asked(forgotten), "a");
     const std::array full {makeOffer("a", 9, 0), makeOffer("b", 5, 0, start), makeOffer("c", 7, 1)};
-    cr_assert_eq(asked(full), "c", "another zone's idle place serves the request at once");
+    cr_assert_eq(asked(full), "c", "another zone has an idle place, where the load can start at once");
     const std::array unknown {makeOffer("a", 9, -1), makeOffer("c", 7, 1)};
-    cr_assert_eq(asked(unknown), "a", "a zone that has not told counts as one with places");
+    cr_assert_eq(asked(unknown), "a", "a zone whose idle places are not known counts as having some");
     cr_assert_eq(asked({}), "");
 }
 
-Test(wantedzone, aRequestStaysWithAZoneForAsLongAsALoadTakes)
+Test(wantedzone, aRequestKeepsItsZoneForAsLongAsALoadTakes)
 {
     const AskedZone before {"a", start};
     std::array offers {makeOffer("a", 5, 0), makeOffer("b", 9, 3)};
-    cr_assert_eq(zoneToAsk(offers, before, start + stayWithZone - Duration {1})->zone, "a");
-    cr_assert_eq(zoneToAsk(offers, before, start + stayWithZone)->zone, "b");
+    cr_assert_eq(zoneToAsk(offers, before, start + minZoneHold - Duration {1})->zone, "a");
+    cr_assert_eq(zoneToAsk(offers, before, start + minZoneHold)->zone, "b");
     offers[0].idlePlaces = 1;
-    cr_assert_eq(zoneToAsk(offers, before, start + 10 * stayWithZone)->zone, "a");
+    cr_assert_eq(zoneToAsk(offers, before, start + 10 * minZoneHold)->zone, "a");
     const std::array lost {makeOffer("b", 9, 3)};
     cr_assert_eq(zoneToAsk(lost, before, start)->zone, "b", "its owner is gone");
 }
 
-Test(waitlimits, aWaitEndsWhileTheCallerCanStillBeServedAtItsSecondTry)
+Test(waitlimits, theWaitLeavesTheCallerTimeForARetry)
 {
     constexpr Duration objective = milliseconds(1000);
     cr_assert_lt(adapterWaitLimit(milliseconds(4000), objective), objective);
--- a/lacewing/wantedzone.cpp
+++ b/lacewing/wantedzone.cpp
@@ -1,4 +1,4 @@
-// Each VM finds the same order of zones as long as it knows the same; those with an idle place come first in it.
+// VMs with the same information select the same zone. Zones with an idle place come first.
 
 #include "wantedzone.h"
 
@@ -34,7 +34,7 @@
         const auto same = std::find_if(offers.begin(), offers.end(),
                                        [&asked](const ZoneOffer &offer) { return offer.zone == asked->zone; });
         const bool idle = same != offers.end() && same->idlePlaces != 0;
-        if (same != offers.end() && (idle || now - asked->since < stayWithZone)) {
+        if (same != offers.end() && (idle || now - asked->since < minZoneHold)) {
             return asked;
         }
     }
--- a/lacewing/wantedzone.h
+++ b/lacewing/wantedzone.h
@@ -1,9 +1,9 @@
-// Which zone's placement owner a request asks for an adapter that no endpoint holds.
+// Selects the zone whose placement owner a request asks to load an adapter that no endpoint holds.
 //
-// Load pattern: nearly all places for adapters are in use, in one zone more than in another. A zone without an idle
-// place loads nothing until a stream ends. So a request asks the zone that remembers the adapter, or else its home, as
-// long as that has an idle place, and otherwise the zone that has most. It stays with a zone for as long as a load
-// takes, since two zones that are asked for the same adapter both load it.
+// Load pattern: nearly all adapter places are in use, in some zones more than in others. A zone without an idle place
+// loads nothing until a stream ends. So zones with an idle place are preferred; among them the zone whose endpoint has
+// the adapter in host memory, then the zone with the highest-ranked home endpoint. A request does not change the zone
+// for as long as a load takes, because two zones that are asked for the same adapter both load it.
 
 #pragma once
 
@@ -15,14 +15,14 @@
 
 namespace lacewing {
 
-/// A load from a crowded weight store, with an unload before it, is over by then.
-constexpr Duration stayWithZone = milliseconds(400);
+/// Minimum time before another zone is asked. A load from a busy weight store, with an unload before it, takes less.
+constexpr Duration minZoneHold = milliseconds(400);
 
-/// A zone that can be asked.
+/// A zone that can be asked for an adapter.
 struct ZoneOffer {
     ZoneName zone;
-    TimePoint unloaded; ///< when an endpoint there held the adapter last, if it remembers it
-    std::uint64_t rank = 0; ///< highest rank of its endpoints as homes of the adapter
+    TimePoint unloaded; ///< when an endpoint of the zone unloaded the adapter; zero: none has it in host memory
+    std::uint64_t rank = 0; ///< highest home rank of the zone's endpoints for the adapter
     std::int32_t idlePlaces = -1; ///< -1: not known
 };
 
@@ -32,10 +32,9 @@
     TimePoint since;
 };
 
-/// @param offers zones that have an owner
-/// @param asked so far for the same adapter, if any
-/// @param now time
-/// @return which to ask now; nothing if there is none
+/// @param offers zones that have a placement owner
+/// @param asked zone that was asked before for the same adapter, if any
+/// @return zone to ask now; nothing if no zone has an owner
 std::optional<AskedZone> zoneToAsk(std::span<const ZoneOffer> offers, const std::optional<AskedZone> &asked,
                                    TimePoint now);
 
