--- a/lacewing/datagramcounts.cpp
+++ b/lacewing/datagramcounts.cpp
@@ -1,4 +1,4 @@
-// One body a datagram, so the first that is set names its kind.
+// A datagram has at most one body, so the first body that is set determines its kind.
 
 #include "datagramcounts.h"
 
@@ -34,7 +34,7 @@
 
 std::string_view nameOf(DatagramKind kind)
 {
-    constexpr std::array<std::string_view, datagramKinds> names {
+    constexpr std::array<std::string_view, datagramKindCount> names {
         "heartbeat",  "placement",     "demand",     "prompt",     "list",
         "news_asked", "endpoint_news", "crash_news", "limit_news", "passed_on"};
     return names.at(static_cast<std::size_t>(kind));
--- a/lacewing/datagramcounts.h
+++ b/lacewing/datagramcounts.h
@@ -1,4 +1,4 @@
-// How many datagrams of each kind a VM sends and receives, and how many bytes: what the VMs cost one another.
+// Counts the datagrams that a VM sends and receives and their bytes, by kind: the cost of the exchange between VMs.
 
 #pragma once
 
@@ -24,17 +24,17 @@
     EndpointNews,
     CrashNews,
     LimitNews,
-    PassedOn, ///< of another VM, within the zone
+    PassedOn, ///< datagram of another VM, forwarded within the zone
 };
-constexpr std::size_t datagramKinds = 10;
+constexpr std::size_t datagramKindCount = 10;
 
 struct DatagramCount {
     std::int64_t datagrams = 0;
     std::int64_t bytes = 0;
 };
 
-/// Of one direction, by kind.
-using DatagramsByKind = std::array<DatagramCount, datagramKinds>;
+/// Counts of one direction, indexed by kind.
+using DatagramsByKind = std::array<DatagramCount, datagramKindCount>;
 
 struct DatagramCounts {
     DatagramsByKind sentWithinZone;
@@ -43,20 +43,21 @@
 };
 
 /// @param datagram any
-/// @return what it is about; of one that is to be passed on, Heartbeat
+/// @return kind of its content; Heartbeat for a datagram that a relay is to forward
 DatagramKind kindOf(const wire::VmDatagram &datagram);
 
 /// @param kind any
-/// @return its name in metrics
+/// @return name of the kind in metrics
 std::string_view nameOf(DatagramKind kind);
 
+/// Counts one datagram.
 /// @param counts changed
-/// @param kind of a datagram
+/// @param kind of the datagram
 /// @param bytes its size
 void count(DatagramsByKind &counts, DatagramKind kind, std::size_t bytes);
 
-/// @param counts so far
-/// @return one text for a log line: kind=datagrams/bytes, separated by commas
+/// @param counts of one direction
+/// @return text for a log line: kind=datagrams/bytes, separated by commas
 std::string describe(const DatagramsByKind &counts);
 
 } // namespace lacewing
--- a/lacewing/datagramdelay.cpp
+++ b/lacewing/datagramdelay.cpp
@@ -1,5 +1,5 @@
-// The fastest one of long ago counts for less and less: the two clocks may drift apart, and the least delay would then
-// never be reached again.
+// The minimum offset is raised slowly with time: if the sender's clock falls behind that of the receiver, an old
+// minimum would never be reached again, and all later datagrams would count as delayed.
 
 #include "datagramdelay.h"
 
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// Share of the time passed by which the least delay may grow: twice what two crystal clocks drift apart.
+/// The minimum offset may grow by the elapsed time divided by this: twice the drift between two crystal clocks.
 constexpr std::int64_t driftDivisor = 5000;
 
 } // namespace
 
-Duration noteDatagram(DatagramDelay &delay, TimePoint sent, TimePoint received)
+Duration recordDatagram(DatagramDelay &delay, TimePoint sent, TimePoint received)
 {
     const Duration difference = received - sent;
     if (!delay.known) {
         delay = {true, difference, received};
     }
-    const Duration passed = std::max(Duration {0}, received - delay.noted);
-    delay.least = std::min(delay.least + passed / driftDivisor, difference);
-    delay.noted = received;
-    return difference - delay.least;
+    const Duration passed = std::max(Duration {0}, received - delay.updatedAt);
+    delay.minOffset = std::min(delay.minOffset + passed / driftDivisor, difference);
+    delay.updatedAt = received;
+    return difference - delay.minOffset;
 }
 
 } // namespace lacewing
--- a/lacewing/datagramroutes.cpp
+++ b/lacewing/datagramroutes.cpp
@@ -1,4 +1,5 @@
-// Targets of heartbeats step through each zone's VMs by name, so that over some seconds each pair of VMs meets.
+// Heartbeat targets rotate through the VMs of each zone by name, so that each pair of VMs exchanges heartbeats within
+// some seconds.
 
 #include "datagramroutes.h"
 
@@ -9,7 +10,7 @@
 
 namespace {
 
-/// The VMs of a zone that may be running.
+/// VMs that may be running, by zone.
 using VmsByZone = std::map<ZoneName, std::vector<const KnownVm *>>;
 
 VmsByZone byZone(const std::map<VmId, KnownVm> &vms, TimePoint now)
@@ -37,7 +38,7 @@
         std::vector<const KnownVm *> alive;
         std::copy_if(there.begin(), there.end(), std::back_inserter(alive),
                      [now](const KnownVm *vm) { return isAlive(*vm, now); });
-        if (zone == ownZone || there.size() <= mostWrittenToDirectly) {
+        if (zone == ownZone || there.size() <= maxDirectZoneVms) {
             routes.direct.insert(routes.direct.end(), alive.begin(), alive.end());
         } else if (!alive.empty()) {
             routes.relays.push_back(*std::min_element(alive.begin(), alive.end(), isBetterRelay));
--- a/lacewing/datagramroutes.h
+++ b/lacewing/datagramroutes.h
@@ -1,13 +1,14 @@
-// Which of the other VMs a datagram goes to.
+// Selects the VMs that a datagram is sent to.
 //
-// Load pattern: hundreds of VMs in a few zones, and something to say to all of them many times a second. Sent to each,
-// a datagram crosses the links between zones once for each VM there, and the sender's own link as often. So it goes to
-// the VMs of the own zone, and to one VM in each other zone, which passes it on there: what a VM sends grows with the
-// VMs of a zone and with the zones, not with their product. Zones of a few VMs are written to directly: passing on
-// would save nothing there, and costs a hop that may fail.
+// Load pattern: hundreds of VMs in a few zones, with updates for all of them many times a second. If each VM were sent
+// its own copy, a datagram would cross the links between zones once for each VM there, and the sender's own link as
+// often. So a datagram goes to the VMs of the own zone, and to one relay VM in each other zone, which forwards it
+// within that zone: the number of datagrams a VM sends grows with the VMs of its zone plus the number of zones, not
+// with their product. VMs of a zone with few VMs are sent to directly: a relay would save nothing there, and adds a hop
+// that may fail.
 //
-// The VM that passes on is the one of its zone that was heard last. A VM that dies or is cut off is replaced as soon as
-// any other of its zone is heard: some ten milliseconds later, since VMs of all zones are heard in turn.
+// The relay is the VM of its zone that was heard last. A relay that dies or is cut off is replaced as soon as any other
+// VM of its zone is heard: some ten milliseconds later, since VMs of all zones are heard in turn.
 
 #pragma once
 
@@ -21,30 +22,30 @@
 
 namespace lacewing {
 
-/// Other zones with this many VMs that may be running, heard or not, or fewer, are written to directly.
-constexpr std::size_t mostWrittenToDirectly = 3;
-/// VMs of each other zone that get a heartbeat: each VM hears as many of each zone in return, some hundred milliseconds
-/// apart, and others each time.
+/// VMs of another zone are sent to directly if the zone has at most this many VMs that may be running, heard or not.
+constexpr std::size_t maxDirectZoneVms = 3;
+/// VMs of each other zone that get a heartbeat in each turn. Each VM in return hears as many VMs of each zone, some
+/// hundred milliseconds apart and different ones each turn.
 constexpr std::size_t heartbeatsPerZone = 3;
 
 struct DatagramRoutes {
     std::vector<const KnownVm *> direct;
-    std::vector<const KnownVm *> relays; ///< each passes it on within its zone
+    std::vector<const KnownVm *> relays; ///< each forwards the datagram within its zone
 };
 
-/// @param vms all others that are known
+/// @param vms all other known VMs
 /// @param ownZone zone of this VM
 /// @param now time
-/// @return where a datagram for all VMs goes; pointers into `vms`
+/// @return recipients of a datagram for all VMs; pointers into `vms`
 DatagramRoutes routesToAll(const std::map<VmId, KnownVm> &vms, const ZoneName &ownZone, TimePoint now);
 
-/// @param vms all others that are known
+/// @param vms all other known VMs
 /// @param ownZone zone of this VM
-/// @param turn a number that rises with each heartbeat, from another start on each VM: VMs that start together would
-/// else all write to the same ones
+/// @param turn number that rises with each heartbeat; its first value differs between VMs, since VMs that start
+/// together would otherwise all send to the same VMs
 /// @param now time
-/// @return VMs that get this heartbeat: all of the own zone, some of each other one, others at each turn. VMs that
-/// can't be heard are among them, since they may hear this one.
+/// @return recipients of this heartbeat: all VMs of the own zone, and in each other zone heartbeatsPerZone VMs, which
+/// differ from turn to turn. VMs that are not heard are included, since they may hear this VM.
 std::vector<const KnownVm *> heartbeatTargets(const std::map<VmId, KnownVm> &vms, const ZoneName &ownZone,
                                               std::uint64_t turn, TimePoint now);
 
--- a/lacewing/entrynode.cpp
+++ b/lacewing/entrynode.cpp
@@ -1,8 +1,8 @@
-// Timers: the claim of the zone is looked at five times a second, demand is reported four times a second while there is
-// any and at once when a request begins to wait for weights, and each VM sends a heartbeat once a second.
+// Timers: the claim of the zone is checked five times a second. Demand is reported four times a second while there is
+// any, and at once when a request starts to wait for weights. Each VM sends a heartbeat once a second.
 //
-// What it does with the platform's list of endpoints is in entrynodelist.cpp, what it tells and hears of endpoints in
-// entrynodenews.cpp, who places adapters in entrynodeplacement.cpp.
+// entrynodelist.cpp handles the platform's list of endpoints, entrynodenews.cpp updates about endpoints, and
+// entrynodeplacement.cpp the ownership of the zone and the demand for adapters.
 
 #include "entrynode.h"
 
@@ -19,24 +19,24 @@
 
 namespace {
 
-/// Between looks at the zone's claim: short against the silence after which an owner is replaced.
+/// Interval between checks of the zone's claim; short compared with ownerTimeout, after which an owner is replaced.
 constexpr Duration claimInterval = milliseconds(200);
-/// Between reports of demand: placement reacts to popularity within a second; four of them make up one.
+/// Interval between demand reports: placement reacts to popularity within a second, which is four reports.
 constexpr Duration reportInterval = milliseconds(250);
 constexpr Duration heartbeatInterval = milliseconds(1000);
-/// Between notices of the placement owner; a change of what an endpoint holds is told at once, of its endpoint alone.
+/// Interval between notices of the placement owner; a change of an endpoint's weights is sent at once, by itself.
 constexpr Duration noticeInterval = milliseconds(500);
-/// VMs are listed this often: those that are alive make themselves known by their heartbeats.
+/// Interval between reads of the VM list. It is long because VMs that are alive announce themselves by heartbeats.
 constexpr Duration listVmsInterval = milliseconds(60000);
 constexpr Duration listVmsRetry = milliseconds(1000);
-/// Between log lines on what this VM costs the others and the platform's store.
+/// Interval between log lines on the traffic to other VMs and the calls to the platform's store.
 constexpr Duration trafficInterval = milliseconds(10000);
-/// The balancer asks once a second and takes a VM out after two misses; a third second for its last connections.
-constexpr Duration outOfRotation = milliseconds(3000);
-/// The news that this VM stops is sent again after this long, in case a datagram is lost.
-constexpr Duration goodbyeRepeat = milliseconds(100);
-constexpr Duration stopCheck = milliseconds(50);
-/// Left for the last answers to be written before the process is killed.
+/// The load balancer asks every second and removes a VM after two failures; a third second is for its last connections.
+constexpr Duration balancerDrainTime = milliseconds(3000);
+/// The announcement that this VM stops is repeated after this delay, in case a datagram is lost.
+constexpr Duration leaveRepeatDelay = milliseconds(100);
+constexpr Duration stopCheckInterval = milliseconds(50);
+/// Time reserved for writing the last answers before the process is killed.
 constexpr Duration stopMargin = milliseconds(400);
 
 std::int64_t randomIncarnation()
@@ -50,7 +50,7 @@
     GatewaySettings gateway;
     gateway.zone = settings.zone;
     gateway.versionBound = settings.versionBound;
-    gateway.retryShare = settings.retryShare; // what may be saved up follows once the other VMs are known
+    gateway.retryShare = settings.retryShare; // the burst is set once the other VMs are known
     return gateway;
 }
 
@@ -83,11 +83,11 @@
       signals(ioContext, SIGTERM, SIGINT, SIGHUP)
 {
     this->dataPath.onWanted = [this] {
-        if (!this->reportPending) { // all that begin to wait in one turn of the loop go into one report
+        if (!this->reportPending) { // one report covers all requests that start to wait in one turn of the loop
             this->reportPending = true;
             asio::post(this->context, [this] {
                 this->reportPending = false;
-                this->report();
+                this->reportDemand();
             });
         }
     };
@@ -107,28 +107,30 @@
         }
     };
     this->gossip.onPrompt = [this](const wire::PromptSent &prompt) { this->dataPath.notePrompt(prompt); };
-    this->gossip.onNewsAsked = [this](const VmId &vm, const wire::NewsAsked &asked) { this->answerNews(vm, asked); };
+    this->gossip.onUpdateRequest
+        = [this](const VmId &vm, const wire::NewsAsked &asked) { this->answerUpdateRequest(vm, asked); };
     this->gossip.onEndpointNews = [this](const VmId &vm, const ZoneName &zone, const wire::EndpointNews &news) {
-        this->receiveEndpointNews(vm, zone, news);
+        this->receiveEndpointUpdate(vm, zone, news);
     };
     this->dataPath.onEndpointNews = [this](const wire::EndpointNews &news) {
-        this->gossip.sendEndpointNewsToAll(news);
-        this->receiveEndpointNews(this->settings.vm, this->settings.zone, news);
+        this->gossip.sendEndpointUpdateToAll(news);
+        this->receiveEndpointUpdate(this->settings.vm, this->settings.zone, news);
     };
     this->dataPath.onPrompt = [this](const wire::PromptSent &prompt) { this->gossip.sendPromptToAll(prompt); };
-    this->gossip.onCrashNews = [this](const wire::CrashNews &news) { this->dataPath.crashWatch().take(news); };
-    this->dataPath.crashWatch().onNews = [this](const wire::CrashNews &news) { this->gossip.sendCrashNewsToAll(news); };
+    this->gossip.onCrashUpdate = [this](const wire::CrashNews &news) { this->dataPath.crashWatch().take(news); };
+    this->dataPath.crashWatch().onNews
+        = [this](const wire::CrashNews &news) { this->gossip.sendCrashUpdateToAll(news); };
     this->gossip.onLimitNews = [this](const wire::LimitNews &news) { this->dataPath.noteLimitNews(news); };
-    this->dataPath.onLimitNews = [this](const wire::LimitNews &news) { this->sendLimitNews(news); };
-    this->owner.onChanged = [this](const wire::PlacementNotice &notice) { this->spread(notice); };
+    this->dataPath.onLimitNews = [this](const wire::LimitNews &news) { this->sendLimitUpdate(news); };
+    this->owner.onChanged = [this](const wire::PlacementNotice &notice) { this->broadcastPlacement(notice); };
     this->owner.mayOrder = [this] { return this->mayOrderNow(); };
     this->owner.onFenced = [this] {
-        noteFenced(this->claim, this->clock.now());
+        recordFenced(this->claim, this->clock.now());
         this->stopOwning("fenced");
     };
     this->owner.onFailed = [this] {
         if (this->claim.held) {
-            this->yieldZone("internal_error"); // to a VM whose view of the endpoints is whole
+            this->yieldZone("internal_error"); // to a VM whose view of the endpoints is consistent
         }
     };
     this->gossip.millicores = this->settings.millicores;
@@ -155,11 +157,11 @@
     this->announce();
     beginClaim(this->claim, this->clock.now());
     this->every(claimInterval, [this] { this->checkClaim(); });
-    this->every(reportInterval, [this] { this->report(); });
+    this->every(reportInterval, [this] { this->reportDemand(); });
     this->every(heartbeatInterval, [this] { this->heartbeat(); });
     this->every(noticeInterval, [this] { this->sendNotice(); });
     this->every(trafficInterval, [this] { this->logTraffic(); });
-    this->every(listVmsInterval, [this] { this->meetVms(); });
+    this->every(listVmsInterval, [this] { this->refreshVms(); });
     logEvent("started",
              {{"vm", this->settings.vm},
               {"zone", this->settings.zone},
@@ -200,7 +202,7 @@
 void EntryNode::every(Duration interval, const std::function<void()> &job)
 {
     this->after(interval, [this, interval, job] {
-        runGuarded("timer", job); // by itself, so that the next one is set whatever becomes of this one
+        runGuarded("timer", job); // guarded separately, so that the next run is scheduled even if this one fails
         this->every(interval, job);
     });
 }
@@ -214,7 +216,7 @@
 
 void EntryNode::setVersion(std::string_view weights, std::int32_t version)
 {
-    this->dataPath.setVersion(weights, version, this->operatorsRead);
+    this->dataPath.setVersion(weights, version, this->operatorChangesRead);
 }
 
 bool EntryNode::heard(const VmId &vm) const
@@ -224,20 +226,20 @@
 
 void EntryNode::configRead(std::int64_t offset)
 {
-    this->operatorsRead = true;
+    this->operatorChangesRead = true;
     this->gossip.configOffset = offset;
 }
 
 void EntryNode::noteUnreadable()
 {
-    this->unreadable += 1;
+    this->unreadableRecords += 1;
 }
 
 void EntryNode::storeAnswered(bool answered)
 {
     const TimePoint now = this->clock.now();
     if (!answered && isOutage(!this->storeUp, now - this->dataPath.fleet().list.current)) {
-        this->storeFailed = now;
+        this->lastStoreFailure = now;
     }
     if (answered != this->storeUp) {
         this->storeUp = answered;
@@ -251,21 +253,21 @@
         if (!stored && !this->stopping) {
             this->after(listVmsRetry, [this] { this->announce(); });
         }
-        // Only now: of two VMs that start together, the one that is stored last finds the other on the list. Listing
-        // before that, both could miss each other until the next listing, and each took the zone for its own.
-        this->meetVms();
+        // Only now: of two VMs that start together, the one stored last finds the other on the list. Read earlier, both
+        // lists could lack the other VM until the next read, and each VM then claimed the zone.
+        this->refreshVms();
     });
 }
 
-void EntryNode::meetVms()
+void EntryNode::refreshVms()
 {
     this->port.listVms([this](std::optional<std::vector<VmContact>> listed) {
         if (!listed) {
-            this->after(listVmsRetry, [this] { this->meetVms(); });
+            this->after(listVmsRetry, [this] { this->refreshVms(); });
             return;
         }
         for (const VmContact &contact : *listed) {
-            this->gossip.meet(contact);
+            this->gossip.addContact(contact);
         }
         this->heartbeat();
     });
@@ -307,12 +309,12 @@
     this->stopAsked = this->clock.now();
     this->gossip.leaving = true;
     this->stopOwning("stopping");
-    this->heartbeat(); // so that another VM takes the zone over at once
-    this->after(goodbyeRepeat, [this] { this->heartbeat(); }); // in case a datagram is lost
+    this->heartbeat(); // so that another VM takes over the zone at once
+    this->after(leaveRepeatDelay, [this] { this->heartbeat(); }); // in case a datagram is lost
     this->port.withdraw(this->settings.vm);
     this->dataPath.beginStop();
-    this->after(outOfRotation, [this] { this->dataPath.refuseNew(); });
-    this->after(outOfRotation, [this] { this->checkStop(); });
+    this->after(balancerDrainTime, [this] { this->dataPath.refuseNew(); });
+    this->after(balancerDrainTime, [this] { this->checkStop(); });
 }
 
 void EntryNode::checkStop()
@@ -322,7 +324,7 @@
     progress.idle = this->dataPath.openRequests() == 0;
     progress.connections = this->dataPath.connections();
     progress.waited = this->clock.now() - this->stopAsked;
-    const StopStep step = nextStopStep(progress, {outOfRotation, this->settings.shutdownBound - stopMargin});
+    const StopStep step = nextStopStep(progress, {balancerDrainTime, this->settings.shutdownBound - stopMargin});
     if (step == StopStep::End) {
         logEvent("stopped",
                  {{"open_requests", std::to_string(this->dataPath.openRequests())},
@@ -338,7 +340,7 @@
         logEvent("listener_closed",
                  {{"waiting", std::to_string(waiting)}, {"connections", std::to_string(this->dataPath.connections())}});
     }
-    this->after(stopCheck, [this] { this->checkStop(); });
+    this->after(stopCheckInterval, [this] { this->checkStop(); });
 }
 
 std::string EntryNode::metricsText() const
@@ -374,7 +376,7 @@
     }
     line("config_version", this->dataPath.config() ? this->dataPath.config()->version : 0);
     line("placement_owner", this->owner.active() ? 1 : 0);
-    line("records_unreadable_total", this->unreadable);
+    line("records_unreadable_total", this->unreadableRecords);
     line("store_up", this->storeUp ? 1 : 0);
     line("handler_failures_total", handlerFailures().total);
     const auto datagramLines = [&line](const std::string &name, const DatagramsByKind &counts) {
--- a/lacewing/entrynode.h
+++ b/lacewing/entrynode.h
@@ -1,9 +1,9 @@
-// An entry VM on a platform that lists endpoints and keeps configuration: puts the data path, the placement of
-// adapters and the exchange with the other VMs together.
+// An entry VM on a platform that lists endpoints and stores configuration: combines the data path, the placement of
+// adapters and the exchange with the other VMs.
 //
 //   EntryNode node(context, settings, format, port);
 //   node.start();
-//   ... feed it what the platform says: gateway(), putEndpoint(), removeEndpoint(), setVersion() ...
+//   ... pass in what is read from the platform: setConfig(), putEndpoint(), removeEndpoint(), setVersion() ...
 //   context.run();   // returns after a planned stop
 
 #pragma once
@@ -40,19 +40,19 @@
     std::string readyPath;
     std::string metricsAddress; ///< empty: no metrics are served
     std::string datagramAddress;
-    Duration shutdownBound = milliseconds(8000); ///< from the signal to the end of the process
+    Duration shutdownBound = milliseconds(8000); ///< maximum time from the signal to the end of the process
     std::int32_t millicores = 0; ///< processor time of this VM, in thousandths of a core
     ZoneClaimSettings claim;
     Duration versionBound
-        = milliseconds(5000); ///< a new version of an adapter is in force this long after it was named
+        = milliseconds(5000); ///< a new version of an adapter takes effect within this time after it was set
     double retryShare = 0.2; ///< of all VMs together
     double retryBurst = 50; ///< of all VMs together
 };
 
-/// How this VM came to know a change of the platform's list.
-enum class ListNews {
-    Read, ///< by a read of its own
-    PassedOn, ///< by the VM of its zone that reads for the others
+/// Source from which this VM learned of a change of the platform's list.
+enum class ListSource {
+    Read, ///< read from the platform by this VM
+    PassedOn, ///< forwarded by the owner of the zone
 };
 
 class EntryNode
@@ -61,57 +61,58 @@
     EntryNode(asio::io_context &ioContext, EntryNodeSettings nodeSettings, const RequestFormat &format,
               PlatformPort platformPort);
 
-    /// @return what failed, if anything
+    /// @return error, if any
     NetError start();
 
     Gateway &gateway();
 
-    /// The settings were read again. Limits and times are taken over at once; names and addresses hold until the
-    /// next start, and a difference in them is logged.
+    /// Applies settings that were read again. Limits and times apply at once; names and addresses stay the same until
+    /// the next start, and a difference in them is logged.
     /// @param next valid settings
     void applySettings(const EntryNodeSettings &next);
 
-    /// A configuration was read.
+    /// Applies a configuration that was read.
     void setConfig(std::shared_ptr<const RouteConfig> config);
-    /// A version of an adapter was read.
+    /// Applies a version of an adapter that was read.
     void setVersion(std::string_view weights, std::int32_t version);
-    /// An entry of the platform's list was read.
+    /// Applies an entry of the platform's list that was read.
     /// @param entry as listed
-    /// @param offset of the change by which it came to be so; noOffset: not known
+    /// @param offset of the change that produced the entry; noOffset: not known
     void putEndpoint(const EndpointEntry &entry, std::int64_t offset = noOffset);
-    /// An entry was taken off the platform's list.
+    /// Applies the removal of an entry from the platform's list.
     /// @param id of the endpoint
     /// @param offset as above
     void removeEndpoint(const EndpointName &id, std::int64_t offset = noOffset);
-    /// An entry of the platform's list can't be used.
+    /// Removes an endpoint whose entry of the platform's list is unusable.
     /// @param id of the endpoint
     /// @param offset as above
     void dropUnusable(const EndpointName &id, std::int64_t offset = noOffset);
-    /// The list is complete as far as the platform has it.
-    /// @param read how far, and how it came
+    /// Called when all changes of a read of the list have been applied.
+    /// @param read offset, age and kind of the read
     void listRead(const ListRead &read);
     /// @return how long to wait between two reads of the list
     Duration listInterval() const;
-    /// The operators' changes were read.
+    /// Called when the operators' changes have been read.
     /// @param offset up to which they were read
     void configRead(std::int64_t offset);
-    /// Asks the platform which VMs there are; done by itself now and then.
-    void meetVms();
+    /// Reads the list of VMs from the platform; also done periodically.
+    void refreshVms();
     /// @param vm name of another VM
-    /// @return whether it was heard lately
+    /// @return whether the VM was heard within vmLifetime
     bool heard(const VmId &vm) const;
-    /// A record of the platform could not be read; counted for the metrics page.
+    /// Counts a record of the platform that could not be read, for the metrics page.
     void noteUnreadable();
-    /// Whether the platform's store answered; noted when it changes.
+    /// Records whether the platform's store answered a call; a change is logged.
     void storeAnswered(bool answered);
 
-    /// Further lines for the metrics page; set by whoever connects the platform.
+    /// Further lines for the metrics page; set by the platform adapter.
     std::function<std::string()> onMetrics;
-    /// Calls on the platform's store so far, for the log; set likewise.
+    /// Returns the counts of calls to the platform's store, for the log; set by the platform adapter.
     std::function<std::string()> onStoreCalls;
-    /// The settings are to be read again (SIGHUP); set by whoever reads them.
+    /// Called on SIGHUP, to read the settings again; set by the component that reads them.
     std::function<void()> onReload;
-    /// Another VM has read the operators' changes up to this offset; set by whoever reads them.
+    /// Called when another VM has read the operators' changes further, up to this offset; set by the component that
+    /// reads them.
     std::function<void(std::int64_t offset)> onMoreConfig;
 
 private:
@@ -124,14 +125,14 @@
         VmId vm;
         std::int64_t fencing = 0;
         TimePoint heard;
-        std::int32_t idlePlaces = -1; ///< for adapters in the zone; -1: not known
+        std::int32_t idlePlaces = -1; ///< free adapter places in the zone; -1: not known
         NewsProgress news;
-        std::vector<EndpointIncarnation> byIndex; ///< endpoints in the order of the loads that its notices tell
-        bool askPending = false; ///< looked at again soon whether news are missing
+        std::vector<EndpointIncarnation> byIndex; ///< endpoints in the order of the loads in its notices
+        bool updateRequestPending = false; ///< a check for missed updates is scheduled
     };
 
-    void lookForStall();
-    /// The last report that the owner of a zone got.
+    void checkForStall();
+    /// The last demand report that was sent to the owner of a zone.
     struct SentDemand {
         VmId vm;
         wire::DemandReport report;
@@ -146,12 +147,12 @@
     void yieldZone(std::string_view reason);
     void onOwnerLeaving(const VmId &vm, const ZoneName &ownerZone);
     void stopOwning(std::string_view reason);
-    void report();
+    void reportDemand();
     void heartbeat();
     void sendNotice();
-    void spread(const wire::PlacementNotice &notice);
+    void broadcastPlacement(const wire::PlacementNotice &notice);
     void announce();
-    void noteOwnDemand();
+    void recordOwnDemand();
     wire::DemandReport demandFor(const ZoneName &ownerZone, const wire::DemandReport &all) const;
     bool hasOwner(const ZoneName &zone) const;
     std::vector<ZoneOffer> zoneOffers(const std::string &weights) const;
@@ -159,24 +160,24 @@
     void receivePlacement(const VmId &vm, const wire::PlacementNotice &notice, Duration heldUp);
     void applyNotice(const wire::PlacementNotice &notice);
     void applyHoldings(const wire::PlacementNotice &notice, Fleet &fleet);
-    void noteIndices(const wire::PlacementNotice &notice);
+    void recordEndpointIndices(const wire::PlacementNotice &notice);
     void applyLoads(const wire::PlacementNotice &notice, Fleet &fleet);
-    void askForNews(const ZoneName &ofZone, Duration delay);
-    void answerNews(const VmId &vm, const wire::NewsAsked &asked);
-    void sendLimitNews(const wire::LimitNews &news);
-    void receiveEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news);
-    void reportTo(const ZoneName &ownerZone, const VmId &vm, const wire::DemandReport &all);
+    void requestMissedUpdates(const ZoneName &ofZone, Duration delay);
+    void answerUpdateRequest(const VmId &vm, const wire::NewsAsked &asked);
+    void sendLimitUpdate(const wire::LimitNews &news);
+    void receiveEndpointUpdate(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news);
+    void sendDemandReport(const ZoneName &ownerZone, const VmId &vm, const wire::DemandReport &all);
     void dropEndpoint(const EndpointName &id);
-    void takeIn(const EndpointEntry &entry, ListNews news);
-    void takeOff(const EndpointName &id, ListNews news);
+    void applyListed(const EndpointEntry &entry, ListSource source);
+    void applyRemoval(const EndpointName &id, ListSource source);
     bool isSuperseded(std::int64_t offset) const;
-    void noteListed(const EndpointEntry &entry);
-    void passListOn();
+    void queueListed(const EndpointEntry &entry);
+    void forwardListChange();
     void sendList(wire::ListChange change, const ListStatement &statement);
-    void takeInChange(const wire::ListChange &change);
+    void applyListChange(const wire::ListChange &change);
     void receiveList(const VmId &vm, const wire::ListChange &change, Duration heldUp);
     void receiveListAge(const VmId &vm, const wire::PlacementNotice &notice, Duration heldUp);
-    void noteOwnersRead(const VmId &vm, const ListStatement &statement);
+    void recordOwnersRead(const VmId &vm, const ListStatement &statement);
     void onFleetChanged();
     void awaitSignal();
     void beginStop();
@@ -199,20 +200,21 @@
     StatusServer metricsServer;
     ZoneClaim claim;
     std::map<ZoneName, ZoneOwner> owners;
-    std::map<std::string, AskedZone> askedZones; ///< for the adapters that requests of this VM wait for
-    std::map<ZoneName, SentDemand> sentDemand; ///< to the owners of other zones
-    std::map<EndpointName, TimePoint> lapsed; ///< taken off the list around an outage of the store
+    std::map<std::string, AskedZone> requestedZones; ///< by adapter that requests of this VM wait for
+    std::map<ZoneName, SentDemand> sentDemand; ///< last reports to the owners of other zones
+    std::map<EndpointName, TimePoint>
+        pendingRemovals; ///< removed from the list around an outage of the store, and kept for now
     asio::signal_set signals;
-    TimePoint storeFailed; ///< when a call last failed in an outage of the store
-    wire::ListChange listChange; ///< read by this VM and not passed on yet
-    ListChain listChain; ///< of what this VM, as the owner, has passed on
-    std::int64_t unreadable = 0; ///< records of the platform that could not be read
-    bool operatorsRead = false; ///< all operators' changes from before the start were read
+    TimePoint lastStoreFailure; ///< when a call last failed in an outage of the store
+    wire::ListChange pendingListChange; ///< changes read by this VM and not forwarded yet
+    ListChain listChain; ///< of the changes that this VM has forwarded as the owner
+    std::int64_t unreadableRecords = 0; ///< records of the platform that could not be read
+    bool operatorChangesRead = false; ///< all operators' changes from before the start have been read
     bool storeUp = true;
-    bool asking = false; ///< the store was asked about the claim and has not answered yet
-    StallWatch stallWatch;
+    bool storeQueryPending = false; ///< a call about the claim is in flight to the store
+    StallDetector stallDetector;
     bool reportPending = false;
-    bool demandEmpty = true;
+    bool lastDemandEmpty = true;
     bool stopping = false;
     TimePoint stopAsked;
 };
--- a/lacewing/entrynodelist.cpp
+++ b/lacewing/entrynodelist.cpp
@@ -1,5 +1,5 @@
-// The platform's list of endpoints in an entry VM: the zone's owner reads it and passes changes on, the others read it
-// seldom while they hear of that.
+// The platform's list of endpoints: the owner of a zone reads it often and forwards changes to the VMs of its zone,
+// which read the list themselves only seldom while they receive the owner's changes.
 
 #include "entrynode.h"
 
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// A change of the list is passed on again after these delays, in case a datagram is lost.
+/// A change of the list is sent again after these delays, in case a datagram is lost.
 constexpr std::array<Duration, 2> repeatDelays {milliseconds(100), milliseconds(300)};
 
-std::string_view nameOf(ListNews news)
+std::string_view nameOf(ListSource source)
 {
-    return news == ListNews::Read ? "read" : "passed_on";
+    return source == ListSource::Read ? "read" : "passed_on";
 }
 
 EndpointEntry entryOf(const wire::ListedEndpoint &listed)
@@ -32,7 +32,7 @@
     entry.zone = listed.zone;
     entry.slots = listed.slots;
     entry.leaving = listed.leaving;
-    entry.orders = -1; // what it holds is said better by any other source
+    entry.orders = -1; // any other source of the held weights is more recent
     for (const std::string &model : listed.models) {
         entry.held[model] = 1;
     }
@@ -61,8 +61,8 @@
 
 bool EntryNode::isSuperseded(std::int64_t offset) const
 {
-    // A read that is answered late brings changes from before what the zone's owner has told meanwhile. They are part
-    // of this VM's copy already, or were undone by a later change that is.
+    // The late answer to a read can contain changes that are older than those received from the owner in the meantime.
+    // This VM's copy already contains them, or a later change that overrides them.
     return offset != noOffset && offset < this->dataPath.fleet().list.offset;
 }
 
@@ -71,22 +71,22 @@
     if (this->isSuperseded(offset)) {
         return;
     }
-    this->noteListed(entry);
-    this->takeIn(entry, ListNews::Read);
+    this->queueListed(entry);
+    this->applyListed(entry, ListSource::Read);
 }
 
-void EntryNode::takeIn(const EndpointEntry &entry, ListNews news)
+void EntryNode::applyListed(const EndpointEntry &entry, ListSource source)
 {
     if (isOutdated(this->dataPath.fleet(), entry)) {
         logEvent("entry_outdated", {{"endpoint", entry.id}, {"born", std::to_string(entry.born)}});
         return;
     }
-    this->lapsed.erase(entry.id);
+    this->pendingRemovals.erase(entry.id);
     this->dataPath.crashWatch().noteListed(entry);
     const bool knownToLeave = isLeaving(this->dataPath.fleet(), entry.id, entry.born);
     if (entry.leaving && !knownToLeave) {
         logEvent("endpoint_leaving",
-                 {{"endpoint", entry.id}, {"born", std::to_string(entry.born)}, {"news", std::string(nameOf(news))}});
+                 {{"endpoint", entry.id}, {"born", std::to_string(entry.born)}, {"news", std::string(nameOf(source))}});
     }
     this->dataPath.changeFleet([this, &entry](Fleet &fleet) {
         const ListedAs listed = lacewing::putEndpoint(fleet, entry, this->clock.now());
@@ -107,9 +107,9 @@
     if (this->isSuperseded(offset)) {
         return;
     }
-    // Passed on also if it was not known here: another VM may have read it while it was listed.
-    this->listChange.removed.push_back(id);
-    this->takeOff(id, ListNews::Read);
+    // Forwarded even if this VM did not know the endpoint: another VM may have read it while it was listed.
+    this->pendingListChange.removed.push_back(id);
+    this->applyRemoval(id, ListSource::Read);
 }
 
 void EntryNode::dropUnusable(const EndpointName &id, std::int64_t offset)
@@ -119,43 +119,44 @@
     }
 }
 
-void EntryNode::takeOff(const EndpointName &id, ListNews news)
+void EntryNode::applyRemoval(const EndpointName &id, ListSource source)
 {
     const TimePoint now = this->clock.now();
     const auto known = this->dataPath.fleet().endpoints.find(id);
     if (known == this->dataPath.fleet().endpoints.end()) {
         return;
     }
-    const Duration hold = lapseHold(this->storeFailed, now);
+    const Duration hold = lapseHold(this->lastStoreFailure, now);
     logEvent(
         "endpoint_unlisted",
-        {{"endpoint", id}, {"hold_ms", std::to_string(toMilliseconds(hold))}, {"news", std::string(nameOf(news))}});
+        {{"endpoint", id}, {"hold_ms", std::to_string(toMilliseconds(hold))}, {"news", std::string(nameOf(source))}});
     if (hold.count() == 0 || known->second.entry.leaving) {
         this->dropEndpoint(id);
-    } else if (this->lapsed.emplace(id, now).second) {
+    } else if (this->pendingRemovals.emplace(id, now).second) {
         this->after(hold, [this, id] {
-            if (this->lapsed.erase(id) > 0) {
+            if (this->pendingRemovals.erase(id) > 0) {
                 this->dropEndpoint(id);
             }
         });
     }
 }
 
-void EntryNode::noteListed(const EndpointEntry &entry)
+void EntryNode::queueListed(const EndpointEntry &entry)
 {
     const Fleet &fleet = this->dataPath.fleet();
     const bool same
         = isIncarnation(fleet, entry.id, entry.born) && fleet.endpoints.at(entry.id).entry.leaving == entry.leaving;
-    // Of one that is kept only until it is known to be gone, the others were told that it was taken off.
-    if ((same && !this->lapsed.contains(entry.id)) || isOutdated(fleet, entry)) {
+    // If the removal of the endpoint is pending here, the other VMs were already told of the removal, so they need the
+    // entry again.
+    if ((same && !this->pendingRemovals.contains(entry.id)) || isOutdated(fleet, entry)) {
         return;
     }
-    this->listChange.listed.push_back(listedOf(entry));
+    this->pendingListChange.listed.push_back(listedOf(entry));
 }
 
-void EntryNode::passListOn()
+void EntryNode::forwardListChange()
 {
-    wire::ListChange change = std::exchange(this->listChange, {});
+    wire::ListChange change = std::exchange(this->pendingListChange, {});
     if (!this->owner.active()) {
         return;
     }
@@ -165,7 +166,7 @@
     change.offset = statement.offset;
     this->sendList(change, statement);
     if (!changed) {
-        return; // that nothing has changed is said again by the notices
+        return; // the notices repeat that nothing has changed
     }
     logEvent("list_passed_on",
              {{"previous", std::to_string(change.previous)},
@@ -179,7 +180,8 @@
 
 void EntryNode::sendList(wire::ListChange change, const ListStatement &statement)
 {
-    change.ageMilliseconds = toMilliseconds(this->clock.now() - statement.read); // a repeat is older than the first
+    change.ageMilliseconds
+        = toMilliseconds(this->clock.now() - statement.read); // the read is older by the time of a repeat
     this->gossip.sendListToZone(change);
 }
 
@@ -190,37 +192,37 @@
     statement.previous = change.previous;
     statement.offset = change.offset;
     statement.read = this->clock.now() - milliseconds(change.ageMilliseconds) - heldUp;
-    // What follows a change that was missed is left out: this VM's copy is the list at an offset, and never a mixture
-    // of two, so that it can be passed on should this VM become the owner.
+    // A change that follows a missed one is not applied: this VM's copy is the list at one offset and never a mixture
+    // of two, so that this VM can forward it if it becomes the owner.
     if (change.offset > known.offset && follows(known, statement)) {
-        this->takeInChange(change);
+        this->applyListChange(change);
     }
-    this->noteOwnersRead(vm, statement);
+    this->recordOwnersRead(vm, statement);
 }
 
-void EntryNode::takeInChange(const wire::ListChange &change)
+void EntryNode::applyListChange(const wire::ListChange &change)
 {
     for (const wire::ListedEndpoint &listed : change.listed) {
-        this->takeIn(entryOf(listed), ListNews::PassedOn);
+        this->applyListed(entryOf(listed), ListSource::PassedOn);
     }
     for (const EndpointName &id : change.removed) {
-        this->takeOff(id, ListNews::PassedOn);
+        this->applyRemoval(id, ListSource::PassedOn);
     }
 }
 
 void EntryNode::receiveListAge(const VmId &vm, const wire::PlacementNotice &notice, Duration heldUp)
 {
     if (notice.listAgeMilliseconds < 0) {
-        return; // news of adapters, which say nothing of the list
+        return; // an update about adapters, which does not refer to the list
     }
     ListStatement statement;
     statement.previous = notice.listOffset < 0 ? noOffset : notice.listChange;
     statement.offset = notice.listOffset < 0 ? notice.listChange : notice.listOffset;
     statement.read = this->clock.now() - milliseconds(notice.listAgeMilliseconds) - heldUp;
-    this->noteOwnersRead(vm, statement);
+    this->recordOwnersRead(vm, statement);
 }
 
-void EntryNode::noteOwnersRead(const VmId &vm, const ListStatement &statement)
+void EntryNode::recordOwnersRead(const VmId &vm, const ListStatement &statement)
 {
     const std::int64_t before = this->dataPath.fleet().list.offset;
     this->dataPath.changeFleet([&](Fleet &fleet) { noteStatement(fleet.list, statement, vm); });
@@ -246,7 +248,7 @@
     if (read.afresh) {
         breakChain(this->listChain);
     }
-    this->passListOn();
+    this->forwardListChange();
     this->onFleetChanged();
 }
 
--- a/lacewing/entrynodenews.cpp
+++ b/lacewing/entrynodenews.cpp
@@ -1,5 +1,5 @@
-// What entry VMs tell each other of endpoints: the notices of a zone's placement owner, which are numbered so that a VM
-// that has missed some can ask for them, and what each VM experiences.
+// Updates about endpoints that entry VMs exchange: the notices of a zone's placement owner, which are numbered so that
+// a VM that missed some can request them, and what each VM observes of endpoints.
 
 #include "entrynode.h"
 
@@ -23,13 +23,13 @@
         notice.listOffset = statement.offset;
         notice.listAgeMilliseconds = toMilliseconds(this->clock.now() - statement.read);
     }
-    this->spread(notice);
+    this->broadcastPlacement(notice);
 }
 
-void EntryNode::spread(const wire::PlacementNotice &notice)
+void EntryNode::broadcastPlacement(const wire::PlacementNotice &notice)
 {
     this->gossip.sendPlacementToAll(notice);
-    this->noteIndices(notice);
+    this->recordEndpointIndices(notice);
     this->applyNotice(notice);
 }
 
@@ -48,33 +48,33 @@
     }
     const TimePoint now = this->clock.now();
     if (notice.fencing > known.fencing) {
-        known = {}; // numbers of news are an owner's own
+        known = {}; // each owner numbers its updates independently
     }
     known.vm = vm;
     known.fencing = notice.fencing;
     known.heard = now;
     known.idlePlaces = notice.idlePlaces;
-    if (notice.zone == this->settings.zone && noteOwner(this->claim, notice.fencing, now)) {
+    if (notice.zone == this->settings.zone && recordOwner(this->claim, notice.fencing, now)) {
         this->stopOwning("superseded");
     }
     if (notice.zone == this->settings.zone) {
         this->receiveListAge(vm, notice, heldUp);
     }
     for (const wire::PlacementNotice &next : takeInOrder(known.news, notice)) {
-        this->noteIndices(next);
+        this->recordEndpointIndices(next);
         this->applyNotice(next);
     }
-    if (hasGap(known.news) && !known.askPending) {
-        this->askForNews(notice.zone, overtakenWithin);
+    if (hasGap(known.news) && !known.updateRequestPending) {
+        this->requestMissedUpdates(notice.zone, reorderWindow);
     }
 }
 
-void EntryNode::askForNews(const ZoneName &ofZone, Duration delay)
+void EntryNode::requestMissedUpdates(const ZoneName &ofZone, Duration delay)
 {
-    this->owners[ofZone].askPending = true;
+    this->owners[ofZone].updateRequestPending = true;
     this->after(delay, [this, ofZone] {
         ZoneOwner &zoneOwner = this->owners[ofZone];
-        zoneOwner.askPending = false;
+        zoneOwner.updateRequestPending = false;
         if (!hasGap(zoneOwner.news) || zoneOwner.vm.empty()) {
             return;
         }
@@ -82,12 +82,12 @@
         asked.zone = ofZone;
         asked.fencing = zoneOwner.fencing;
         asked.known = zoneOwner.news.complete;
-        this->gossip.sendNewsAsked(zoneOwner.vm, asked);
-        this->askForNews(ofZone, newsAskInterval);
+        this->gossip.sendUpdateRequest(zoneOwner.vm, asked);
+        this->requestMissedUpdates(ofZone, updateRequestInterval);
     });
 }
 
-void EntryNode::answerNews(const VmId &vm, const wire::NewsAsked &asked)
+void EntryNode::answerUpdateRequest(const VmId &vm, const wire::NewsAsked &asked)
 {
     const bool mine = this->owner.active() && asked.zone == this->settings.zone;
     if (!mine || asked.fencing != this->owner.fencing()) {
@@ -98,13 +98,13 @@
     }
 }
 
-void EntryNode::noteIndices(const wire::PlacementNotice &notice)
+void EntryNode::recordEndpointIndices(const wire::PlacementNotice &notice)
 {
     std::vector<EndpointIncarnation> &byIndex = this->owners[notice.zone].byIndex;
-    constexpr std::size_t mostIndices = 65536; // bounds what a malformed notice can ask for
+    constexpr std::size_t maxIndices = 65536; // bounds the memory that a malformed notice can allocate
     for (const wire::EndpointHoldings &holdings : notice.endpoints) {
         const auto index = static_cast<std::size_t>(std::max(0, holdings.index));
-        if (holdings.index < 0 || index >= mostIndices) {
+        if (holdings.index < 0 || index >= maxIndices) {
             continue;
         }
         if (byIndex.size() <= index) {
@@ -158,19 +158,19 @@
     }
 }
 
-void EntryNode::sendLimitNews(const wire::LimitNews &news)
+void EntryNode::sendLimitUpdate(const wire::LimitNews &news)
 {
-    // That a request was sent concerns only those who may send to the endpoint.
+    // An update about a sent request concerns only VMs that may send requests to the endpoint.
     const Fleet &fleet = this->dataPath.fleet();
     const EndpointEntry &entry = fleet.endpoints.at(news.endpoint).entry;
     const std::set<ZoneName> zones = this->gossip.zonesInUse();
     const bool zoneOnly = news.sent > 0 && entry.zone == this->settings.zone
         && std::all_of(zones.begin(), zones.end(),
                        [&](const ZoneName &zone) { return hasEndpointIn(fleet, entry.service, zone); });
-    this->gossip.sendLimitNews(news, zoneOnly);
+    this->gossip.sendLimitUpdate(news, zoneOnly);
 }
 
-void EntryNode::receiveEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news)
+void EntryNode::receiveEndpointUpdate(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news)
 {
     if (this->dataPath.noteEndpointNews(vm, vmZone, news)) {
         this->onFleetChanged();
--- a/lacewing/entrynodeplacement.cpp
+++ b/lacewing/entrynodeplacement.cpp
@@ -1,4 +1,4 @@
-// Who places adapters in a zone, and what entry VMs tell each other about it: claims, demand and notices.
+// Ownership of the zone and the exchange about adapter placement between entry VMs: claims, demand and notices.
 
 #include "entrynode.h"
 
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// An owner that was not heard for this long is asked for nothing.
+/// No demand is reported to an owner that was not heard for this long.
 constexpr Duration ownerLifetime = milliseconds(1700);
-/// A report that says the same as the last one is sent this late: owners forget a VM's demand after three seconds.
+/// An unchanged report is repeated after this time: owners discard a VM's demand after three seconds.
 constexpr Duration sameDemandInterval = milliseconds(1000);
 
-/// @return whether a report tells an owner nothing that the one before did not; how old a want is, it works out itself
-bool saysTheSame(const wire::DemandReport &sent, const wire::DemandReport &next)
+/// @return whether a report adds nothing to the one before; the owner computes the age of a demand itself
+bool isSameDemand(const wire::DemandReport &sent, const wire::DemandReport &next)
 {
     const auto sameWant = [](const wire::WantedWeights &one, const wire::WantedWeights &other) {
         return one.name == other.name && one.waiting == other.waiting && one.rank == other.rank;
@@ -37,18 +37,18 @@
     }
 }
 
-void EntryNode::lookForStall()
+void EntryNode::checkForStall()
 {
-    if (this->stallWatch.gap() >= stallGap) {
+    if (this->stallDetector.gap() >= stallGap) {
         logEvent("stalled", {{"owner", this->claim.held ? "yes" : "no"}});
-        noteStall(this->claim, this->clock.now());
+        recordStall(this->claim, this->clock.now());
     }
 }
 
 void EntryNode::checkClaim()
 {
-    this->lookForStall();
-    if (this->asking || this->stopping) {
+    this->checkForStall();
+    if (this->storeQueryPending || this->stopping) {
         return;
     }
     const TimePoint now = this->clock.now();
@@ -68,29 +68,29 @@
     notice.zone = this->settings.zone;
     notice.fencing = this->claim.fencing;
     notice.yields = true;
-    noteYielded(this->claim, this->clock.now());
+    recordYield(this->claim, this->clock.now());
     this->stopOwning(reason);
     this->gossip.sendPlacementToAll(notice);
 }
 
 void EntryNode::claimZone()
 {
-    this->asking = true;
+    this->storeQueryPending = true;
     logEvent("zone_claimed",
              {{"zone", this->settings.zone},
               {"superseded", std::to_string(this->claim.newest)},
               {"owner_left", this->claim.ownerLeft ? "yes" : "no"},
               {"silence_ms", std::to_string(toMilliseconds(this->clock.now() - this->claim.newestHeard))}});
     this->port.claim(this->claim.newest, [this](std::optional<ClaimReply> reply) {
-        this->asking = false;
+        this->storeQueryPending = false;
         if (!reply) {
-            noteClaimUnanswered(this->claim, this->clock.now());
+            recordClaimFailure(this->claim, this->clock.now());
             return;
         }
         if (this->stopping) {
             return;
         }
-        if (noteClaimAnswer(this->claim, this->settings.claim, reply->gained, reply->newest, this->clock.now())) {
+        if (applyClaimReply(this->claim, this->settings.claim, reply->gained, reply->newest, this->clock.now())) {
             this->becomeOwner();
         }
     });
@@ -98,13 +98,13 @@
 
 void EntryNode::confirmClaim()
 {
-    this->asking = true;
+    this->storeQueryPending = true;
     const TimePoint sentAt = this->clock.now();
     this->port.newestClaim(this->claim.fencing, [this, sentAt](std::optional<std::int64_t> newest) {
-        this->asking = false;
+        this->storeQueryPending = false;
         if (!newest) {
-            noteClaimUnanswered(this->claim, this->clock.now());
-        } else if (noteNewest(this->claim, *newest, sentAt, this->clock.now())) {
+            recordClaimFailure(this->claim, this->clock.now());
+        } else if (applyNewestClaim(this->claim, *newest, sentAt, this->clock.now())) {
             this->stopOwning("superseded");
         }
     });
@@ -112,9 +112,9 @@
 
 bool EntryNode::mayOrderNow()
 {
-    // Only this part of checkClaim(): whoever asks holds on to what ends with the ownership. Timers that were due while
-    // the process stood still run in any order, so it is looked for here, too.
-    this->lookForStall();
+    // Not all of checkClaim(), which may end the ownership while the caller uses state that ends with it. The stall
+    // check is repeated here because timers that expired during a stall run in any order.
+    this->checkForStall();
     return lacewing::mayOrder(this->claim, this->settings.claim, this->clock.now()) && !this->stopping;
 }
 
@@ -122,7 +122,7 @@
 {
     this->owner.begin(this->claim.fencing);
     beginChain(this->listChain, this->dataPath.fleet().list);
-    this->noteOwnDemand();
+    this->recordOwnDemand();
     this->onFleetChanged();
     this->sendNotice();
 }
@@ -135,7 +135,7 @@
     }
 }
 
-void EntryNode::noteOwnDemand()
+void EntryNode::recordOwnDemand()
 {
     if (this->owner.active()) {
         const wire::DemandReport all = this->dataPath.demand();
@@ -183,13 +183,13 @@
 {
     std::map<std::string, AskedZone> next;
     for (const wire::WantedWeights &want : all.wanted) {
-        const auto found = this->askedZones.find(want.name);
-        const auto before = found == this->askedZones.end() ? std::nullopt : std::optional(found->second);
+        const auto found = this->requestedZones.find(want.name);
+        const auto before = found == this->requestedZones.end() ? std::nullopt : std::optional(found->second);
         if (const auto zone = zoneToAsk(this->zoneOffers(want.name), before, this->clock.now())) {
             next[want.name] = *zone;
         }
     }
-    this->askedZones = std::move(next);
+    this->requestedZones = std::move(next);
 }
 
 wire::DemandReport EntryNode::demandFor(const ZoneName &ownerZone, const wire::DemandReport &all) const
@@ -198,43 +198,45 @@
     for (const wire::EndpointUse &use : all.uses) {
         const auto known = this->dataPath.fleet().endpoints.find(use.endpoint);
         const bool there = known != this->dataPath.fleet().endpoints.end() && known->second.entry.zone == ownerZone;
-        if (there || ownerZone == this->settings.zone) { // the own zone's owner makes copies of what runs elsewhere
+        if (there
+            || ownerZone
+                == this->settings.zone) { // the owner of this zone also copies adapters that run in other zones
             report.uses.push_back(use);
         }
     }
     for (const wire::WantedWeights &want : all.wanted) {
-        const auto zone = this->askedZones.find(want.name);
-        if (zone != this->askedZones.end() && zone->second.zone == ownerZone) {
+        const auto zone = this->requestedZones.find(want.name);
+        if (zone != this->requestedZones.end() && zone->second.zone == ownerZone) {
             report.wanted.push_back(want);
         }
     }
     return report;
 }
 
-void EntryNode::report()
+void EntryNode::reportDemand()
 {
     const wire::DemandReport all = this->dataPath.demand();
     const bool empty = all.uses.empty() && all.wanted.empty();
-    if (empty && this->demandEmpty) {
+    if (empty && this->lastDemandEmpty) {
         return;
     }
-    this->demandEmpty = empty;
+    this->lastDemandEmpty = empty;
     this->chooseZones(all);
     const TimePoint now = this->clock.now();
     for (const auto &[zone, zoneOwner] : this->owners) {
         if (now - zoneOwner.heard < ownerLifetime && zoneOwner.vm != this->settings.vm) {
-            this->reportTo(zone, zoneOwner.vm, all);
+            this->sendDemandReport(zone, zoneOwner.vm, all);
         }
     }
-    this->noteOwnDemand();
+    this->recordOwnDemand();
 }
 
-void EntryNode::reportTo(const ZoneName &ownerZone, const VmId &vm, const wire::DemandReport &all)
+void EntryNode::sendDemandReport(const ZoneName &ownerZone, const VmId &vm, const wire::DemandReport &all)
 {
     const TimePoint now = this->clock.now();
     wire::DemandReport report = this->demandFor(ownerZone, all);
     SentDemand &sent = this->sentDemand[ownerZone];
-    if (sent.vm == vm && now - sent.at < sameDemandInterval && saysTheSame(sent.report, report)) {
+    if (sent.vm == vm && now - sent.at < sameDemandInterval && isSameDemand(sent.report, report)) {
         return;
     }
     this->gossip.sendDemand(vm, report);
@@ -260,7 +262,7 @@
     left->second.vm.clear();
     left->second.heard = TimePoint {};
     if (zone == this->settings.zone) {
-        noteOwnerLeaving(this->claim);
+        recordOwnerLeaving(this->claim);
         this->checkClaim();
     }
 }
--- a/lacewing/knownvm.h
+++ b/lacewing/knownvm.h
@@ -1,4 +1,4 @@
-// Another entry VM as this one knows it: from the platform, and from what it was heard to say.
+// What this VM knows of another entry VM, from the platform and from the datagrams of that VM.
 
 #pragma once
 
@@ -14,21 +14,21 @@
 
 namespace lacewing {
 
-/// A VM that was not heard for this long counts as gone: four heartbeats.
+/// A VM that was not heard for this long counts as dead: four heartbeats.
 constexpr Duration vmLifetime = milliseconds(4000);
 /// A VM that was heard within this time counts as reachable: two heartbeats.
 constexpr Duration vmFreshness = milliseconds(2200);
-/// A VM that was not heard, nor named by the platform, for this long is written to no more; it makes itself known when
-/// it is back.
+/// A VM that was neither heard nor announced by the platform or another VM for this long is no longer sent to. It
+/// announces itself when it returns.
 constexpr Duration forgetAfter = milliseconds(90000);
 
 struct KnownVm {
     asio::ip::udp::endpoint address;
     ZoneName zone;
     std::int64_t incarnation = 0;
-    std::int64_t number = 0; ///< of the last datagram
-    TimePoint heard; ///< when its last datagram came from itself
-    TimePoint met; ///< when the platform or another VM last named it
+    std::int64_t number = 0; ///< sequence number of its last datagram
+    TimePoint heard; ///< when a datagram was last received directly from it
+    TimePoint lastAnnounced; ///< when the platform or another VM last announced it
     bool everHeard = false;
     bool leaving = false;
     std::int32_t millicores = 0;
@@ -37,15 +37,15 @@
 
 /// @param vm another VM
 /// @param now time
-/// @return whether it is written to no more
+/// @return whether the VM is no longer sent to
 inline bool isForgotten(const KnownVm &vm, TimePoint now)
 {
-    return now - std::max(vm.heard, vm.met) >= forgetAfter;
+    return now - std::max(vm.heard, vm.lastAnnounced) >= forgetAfter;
 }
 
 /// @param vm another VM
 /// @param now time
-/// @return whether it was heard lately
+/// @return whether the VM was heard within vmLifetime
 inline bool isAlive(const KnownVm &vm, TimePoint now)
 {
     return vm.everHeard && now - vm.heard < vmLifetime;
--- a/lacewing/newsprogress.cpp
+++ b/lacewing/newsprogress.cpp
@@ -1,4 +1,4 @@
-// What a notice tells in full is true by itself; only what builds on something waits for that.
+// A full notice is valid by itself and is returned at once. Only incremental notices wait for their predecessor.
 
 #include "newsprogress.h"
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Bounds what is kept while an owner can't be asked; news beyond come with its answer.
-constexpr std::size_t mostAhead = 64;
+/// Bounds the notices that are kept while the owner can't be reached. Further updates come with the owner's answer.
+constexpr std::size_t maxPending = 64;
 
-bool buildsOnOthers(const wire::PlacementNotice &notice)
+bool isIncremental(const wire::PlacementNotice &notice)
 {
     return notice.previousNews < notice.news;
 }
@@ -21,11 +21,11 @@
 std::vector<wire::PlacementNotice> takeInOrder(NewsProgress &progress, const wire::PlacementNotice &notice)
 {
     progress.announced = std::max(progress.announced, notice.news);
-    if (!buildsOnOthers(notice)) {
+    if (!isIncremental(notice)) {
         return {notice};
     }
     if (notice.previousNews > progress.complete) {
-        if (progress.ahead.size() < mostAhead) {
+        if (progress.ahead.size() < maxPending) {
             progress.ahead.emplace(notice.previousNews, notice);
         }
         return {};
--- a/lacewing/newsprogress.h
+++ b/lacewing/newsprogress.h
@@ -1,12 +1,12 @@
-// How much of a zone's news about its endpoints a VM has, and in which order it takes them in.
+// Tracks which placement updates of a zone's owner a VM has received, and puts them in order.
 //
 //   for (const wire::PlacementNotice &notice : takeInOrder(progress, received)) apply(notice);
-//   if (hasGap(progress)) ask the owner for what came after progress.complete
+//   if (hasGap(progress)) request the updates after progress.complete from the owner
 //
-// An owner numbers what it tells; each notice says from which number on it is complete, and up to which. Notices come
-// by several ways and may overtake one another, or be lost. A difference must not be taken in before the one that it
-// builds on, so a notice behind a gap is kept until the gap is closed: by the notice that was overtaken, or by the
-// owner's answer.
+// An owner numbers its updates. Each notice states after which number it starts and up to which number it goes. Notices
+// take several routes and may be reordered or lost. An incremental notice must not be applied before the notice that it
+// builds on, so a notice behind a gap is kept until the gap is closed, by the late notice or by the owner's answer to a
+// request for missed updates.
 
 #pragma once
 
@@ -19,24 +19,25 @@
 
 namespace lacewing {
 
-/// A notice that is overtaken by another one comes within this time.
-constexpr Duration overtakenWithin = milliseconds(40);
-/// Between two questions for the same news: the answer takes some milliseconds, or is lost.
-constexpr Duration newsAskInterval = milliseconds(250);
+/// A notice that was overtaken by a later one arrives within this time.
+constexpr Duration reorderWindow = milliseconds(40);
+/// Interval between two requests for the same updates: the answer takes some milliseconds, or is lost.
+constexpr Duration updateRequestInterval = milliseconds(250);
 
 struct NewsProgress {
-    std::int64_t complete = 0; ///< all news up to here are known
-    std::int64_t announced = 0; ///< there are news up to here
-    std::map<std::int64_t, wire::PlacementNotice> ahead; ///< notices behind a gap, by the number that each builds on
+    std::int64_t complete = 0; ///< number up to which all updates were received
+    std::int64_t announced = 0; ///< highest update number seen
+    std::map<std::int64_t, wire::PlacementNotice>
+        ahead; ///< notices behind a gap, keyed by the update number that each builds on
 };
 
 /// @param progress changed
-/// @param notice that was received
-/// @return notices to be taken in now, in this order
+/// @param notice the received notice
+/// @return notices to apply now, in this order
 std::vector<wire::PlacementNotice> takeInOrder(NewsProgress &progress, const wire::PlacementNotice &notice);
 
 /// @param progress of this VM
-/// @return whether there are news that it lacks
+/// @return whether updates are missing
 bool hasGap(const NewsProgress &progress);
 
 } // namespace lacewing
--- a/lacewing/platformport.h
+++ b/lacewing/platformport.h
@@ -1,7 +1,7 @@
-// The calls that an entry VM makes on the platform and on endpoints, beside requests. The implementation turns
-// them into the platform's own formats; nothing here decides.
+// The calls that an entry VM makes to the platform and, besides forwarded requests, to endpoints. The implementation
+// translates them into the platform's own formats and makes no decisions.
 //
-// All calls return at once. Each callback is called once, later, on the event loop's thread.
+// All calls return at once. Each callback is called exactly once, later, on the event loop's thread.
 
 #pragma once
 
@@ -20,23 +20,23 @@
 /// Answer to a claim of a zone.
 struct ClaimReply {
     bool gained = false;
-    std::int64_t newest = 0; ///< fencing number of the newest claim, ours or another's
+    std::int64_t newest = 0; ///< fencing number of the newest claim, of this VM or another one
 };
 
 /// How an endpoint answered an order.
 enum class OrderReply {
-    Accepted, ///< it is being carried out
-    Done, ///< what was ordered already holds
+    Accepted, ///< the order is in progress
+    Done, ///< the endpoint is already in the ordered state
     Conflict, ///< another order is in progress, or the expected number of orders differs
     Fenced, ///< a higher fencing number was seen
     OtherEndpoint, ///< the address belongs to another endpoint now
-    Refused, ///< the order makes no sense there
-    NoAnswer, ///< it may be carried out now, later or never
+    Refused, ///< the endpoint can't execute the order
+    NoAnswer, ///< the order may be executed now, later or never
 };
 
-/// What an endpoint says it holds and does.
+/// The state that an endpoint reports.
 struct EndpointReport {
-    std::int64_t born = 0; ///< start of the incarnation that reports; 0: not said
+    std::int64_t born = 0; ///< start of the reporting incarnation; 0: not reported
     std::int64_t orders = 0;
     bool busy = false;
     HeldVersions held;
@@ -45,7 +45,7 @@
     std::int32_t queued = 0;
 };
 
-/// Another entry VM, as it announced itself.
+/// Contact data of an entry VM, as announced.
 struct VmContact {
     VmId vm;
     ZoneName zone;
@@ -56,7 +56,7 @@
     /// Claims this VM's zone if the claim with this fencing number is still the newest.
     std::function<void(std::int64_t superseded, std::function<void(std::optional<ClaimReply>)>)> claim;
     /// Asks for the fencing number of the zone's newest claim.
-    /// `known` is one that is known of.
+    /// `known` is the fencing number of a claim that the caller knows.
     std::function<void(std::int64_t known, std::function<void(std::optional<std::int64_t>)>)> newestClaim;
     std::function<void(const PlacementOrder &, const std::string &address, std::int64_t fencing,
                        std::function<void(OrderReply)>)>
@@ -64,11 +64,11 @@
     std::function<void(const EndpointName &, const std::string &address,
                        std::function<void(std::optional<EndpointReport>)>)>
         report;
-    /// Makes this VM known to the others.
+    /// Announces this VM to the others.
     std::function<void(const VmContact &, std::function<void(bool)>)> announce;
-    /// Takes the announcement back.
+    /// Withdraws the announcement.
     std::function<void(const VmId &)> withdraw;
-    /// Lists the VMs that announced themselves.
+    /// Lists the VMs that are announced.
     std::function<void(std::function<void(std::optional<std::vector<VmContact>>)>)> listVms;
 };
 
--- a/lacewing/stallwatch.cpp
+++ b/lacewing/stallwatch.cpp
@@ -1,4 +1,4 @@
-// CLOCK_BOOTTIME counts the time that the machine was suspended; the steady clock of the library doesn't.
+// CLOCK_BOOTTIME includes the time for which the VM was suspended; std::chrono::steady_clock does not.
 
 #include "stallwatch.h"
 
@@ -18,11 +18,11 @@
 
 } // namespace
 
-StallWatch::StallWatch() : last(timeSinceBoot())
+StallDetector::StallDetector() : last(timeSinceBoot())
 {
 }
 
-Duration StallWatch::gap()
+Duration StallDetector::gap()
 {
     const Duration now = timeSinceBoot();
     const Duration passed = now - this->last;
--- a/lacewing/stallwatch.h
+++ b/lacewing/stallwatch.h
@@ -1,10 +1,10 @@
-// Notices that the process has stood still: frozen or suspended with its VM, or starved of processor time.
+// Detects that the process has stalled: it was frozen, suspended with its VM, or starved of processor time.
 //
-//   StallWatch watch;
-//   if (watch.gap() > stallGap) ...   // at least once in each turn of a short timer
+//   StallDetector detector;
+//   if (detector.gap() > stallGap) ...   // in each run of a short periodic timer
 //
-// What was believed before may be out of date then, though no timer says so: a suspended VM's steady clock stands still
-// too, while the time since boot goes on.
+// After a stall, state may be out of date although no timer has expired: the steady clock of a suspended VM stops,
+// while the time since boot continues.
 
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace lacewing {
 
-class StallWatch
+class StallDetector
 {
 public:
-    StallWatch();
+    StallDetector();
 
-    /// @return time since the last call, or since the start, with any time that the VM was suspended
+    /// @return time since the last call, or since construction, including time for which the VM was suspended
     Duration gap();
 
 private:
--- a/lacewing/statusserver.cpp
+++ b/lacewing/statusserver.cpp
@@ -1,4 +1,4 @@
-// The same connections as for callers, with small limits.
+// Uses the same connection class as for callers, with smaller limits.
 
 #include "statusserver.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t mostConnections = 32;
+constexpr std::size_t maxConnections = 32;
 
 } // namespace
 
@@ -34,7 +34,7 @@
         if (error == asio::error::operation_aborted || !this->acceptor.is_open()) {
             return;
         }
-        if (!error && this->connections.size() < mostConnections) {
+        if (!error && this->connections.size() < maxConnections) {
             this->add(std::move(socket));
         }
         this->accept();
@@ -48,16 +48,16 @@
     const auto connection = std::make_shared<CallerConnection>(std::move(socket), limits);
     this->connections.insert(connection);
     const std::weak_ptr<CallerConnection> weak = connection;
-    const auto reply = [weak](const StatusAnswer &said, bool keepAlive) {
-        if (const auto asker = weak.lock()) {
+    const auto reply = [weak](const StatusAnswer &result, bool keepAlive) {
+        if (const auto client = weak.lock()) {
             HttpAnswerHead head;
-            head.status = said.status;
-            head.reason = said.status == 200 ? "OK" : "no";
+            head.status = result.status;
+            head.reason = result.status == 200 ? "OK" : "no";
             head.headers = {{"Content-Type", "text/plain; charset=utf-8"}};
-            head.length = said.text.size();
-            asker->beginAnswer(head, BodyFraming::Length, keepAlive);
-            asker->writeBody(said.text);
-            asker->finishAnswer();
+            head.length = result.text.size();
+            client->beginAnswer(head, BodyFraming::Length, keepAlive);
+            client->writeBody(result.text);
+            client->finishAnswer();
         }
     };
     CallerConnection::Handlers handlers;
@@ -76,7 +76,7 @@
 
 void StatusServer::close()
 {
-    NetError ignored; // the process ends
+    NetError ignored; // the process is ending
     this->acceptor.close(ignored);
     const auto all = this->connections;
     for (const auto &connection : all) {
--- a/lacewing/statusserver.h
+++ b/lacewing/statusserver.h
@@ -1,4 +1,4 @@
-// Answers short questions about this process over HTTP: readiness for the balancer, metrics.
+// Serves status queries about this process over HTTP: readiness for the load balancer, and metrics.
 
 #pragma once
 
@@ -23,12 +23,12 @@
 {
 public:
     /// @param ioContext event loop; outlives the server
-    /// @param answerTo gives the answer to a GET of a path
+    /// @param answerTo returns the answer to a GET of a path
     StatusServer(asio::io_context &ioContext, std::function<StatusAnswer(std::string_view path)> answerTo);
     ~StatusServer();
 
     /// @param address numeric host:port
-    /// @return what failed, if anything
+    /// @return error, if any
     NetError listen(std::string_view address);
     void close();
 
--- a/lacewing/stopprogress.cpp
+++ b/lacewing/stopprogress.cpp
@@ -1,4 +1,4 @@
-// The bound goes before all else: the platform kills what runs longer.
+// The time limit takes precedence over all other conditions: the platform kills a process that runs longer.
 
 #include "stopprogress.h"
 
@@ -6,14 +6,14 @@
 
 StopStep nextStopStep(const StopProgress &progress, const StopBounds &bounds)
 {
-    if (progress.waited >= bounds.whole) {
+    if (progress.waited >= bounds.maxStopTime) {
         return StopStep::End;
     }
     if (!progress.idle) {
         return StopStep::Wait;
     }
     if (progress.listening) {
-        return progress.waited >= bounds.listening ? StopStep::CloseListener : StopStep::Wait;
+        return progress.waited >= bounds.minListening ? StopStep::CloseListener : StopStep::Wait;
     }
     return progress.connections == 0 ? StopStep::End : StopStep::Wait;
 }
--- a/lacewing/stopprogress.h
+++ b/lacewing/stopprogress.h
@@ -1,6 +1,8 @@
-// How a planned stop goes on: when its listener closes and when the process may end. What counts as open is known only
-// at the moment of a look, so nothing is closed while something may still be on its way to a caller or from one:
-// the listener closes once all requests are answered, and the process ends once the callers have closed.
+// Decides when a planned stop closes the listener and when the process may end.
+//
+// Open requests and connections are only known at the time of a check, and data may still be in flight to or from a
+// caller. The listener therefore closes only once all requests are answered, and the process ends only once the callers
+// have closed their connections.
 
 #pragma once
 
@@ -10,17 +12,17 @@
 
 namespace lacewing {
 
-/// What is found at a look.
+/// State of a planned stop at one check.
 struct StopProgress {
     bool listening = true;
     bool idle = false; ///< no request is in progress
     std::size_t connections = 0; ///< of callers
-    Duration waited {0}; ///< since the stop was asked for
+    Duration waited {0}; ///< since the stop was requested
 };
 
 struct StopBounds {
-    Duration listening {0}; ///< connections are taken at least that long
-    Duration whole {0}; ///< the process ends then in any case
+    Duration minListening {0}; ///< connections are accepted at least this long
+    Duration maxStopTime {0}; ///< the process ends after this time in any case
 };
 
 enum class StopStep {
--- a/lacewing/testing/datagramroutestest.cpp
+++ b/lacewing/testing/datagramroutestest.cpp
@@ -1,4 +1,5 @@
-// Whom a VM writes to, at the sizes of today and of the design.
+// Selection of recipients with 6 to 590 VMs: each VM is reached once, few datagrams cross zones, and a relay that is
+// leaving or no longer heard is not used.
 
 #include "datagramroutes.h"
 
@@ -14,7 +15,7 @@
 
 const TimePoint start {milliseconds(1000000)};
 
-/// VMs of some zones, all heard a while ago, those with higher numbers later.
+/// VMs of several zones, all heard within the last second; those with higher numbers were heard later.
 std::map<VmId, KnownVm> makeVms(int zones, int vmsPerZone)
 {
     std::map<VmId, KnownVm> vms;
@@ -24,7 +25,7 @@
             vm.zone = "z" + std::to_string(zone);
             vm.everHeard = true;
             vm.heard = start - milliseconds(1000 - number);
-            vm.met = start;
+            vm.lastAnnounced = start;
             vms[vm.zone + "-" + std::to_string(number)] = vm;
         }
     }
@@ -57,22 +58,22 @@
     cr_assert_not(zones.contains("z0"));
 }
 
-Test(datagramroutes, aSenderWritesToItsZoneAndOneVmOfEachOther)
+Test(datagramroutes, aSenderSendsToItsZoneAndOneVmOfEachOtherZone)
 {
     struct Size {
         int zones;
         int vmsPerZone;
-        std::size_t most;
+        std::size_t maxTargets;
     };
-    // Of 6, 195, 302 and 590 VMs; each of the others as long as that is no more than three in a zone.
+    // 6, 195, 302 and 590 VMs. VMs of other zones are all sent to directly if the zone has no more than three.
     for (const Size &size : {Size {3, 2, 6}, Size {5, 39, 43}, Size {5, 61, 65}, Size {23, 26, 48}}) {
         const auto vms = makeVms(size.zones, size.vmsPerZone);
         const DatagramRoutes routes = routesToAll(vms, "z0", start);
-        cr_assert_leq(routes.direct.size() + routes.relays.size(), size.most);
+        cr_assert_leq(routes.direct.size() + routes.relays.size(), size.maxTargets);
     }
 }
 
-Test(datagramroutes, aZoneOfWhichFewAreHeardIsStillReachedAsAWhole)
+Test(datagramroutes, aLargeZoneOfWhichFewVmsAreHeardIsReachedThroughARelay)
 {
     auto vms = makeVms(2, 39);
     for (auto &[name, vm] : vms) {
@@ -84,7 +85,7 @@
     cr_assert_eq(nameOfVm(vms, routes.relays.front()), "z1-8");
 }
 
-Test(datagramroutes, theVmThatWasHeardLastPassesOn)
+Test(datagramroutes, theVmHeardLastThatIsNotLeavingIsTheRelay)
 {
     auto vms = makeVms(2, 10);
     vms.at("z1-9").leaving = true;
@@ -94,7 +95,7 @@
     cr_assert_eq(nameOfVm(vms, routes.relays.front()), "z1-7");
 }
 
-Test(datagramroutes, heartbeatsReachEachVmOfAllZonesWithinSomeTurns)
+Test(datagramroutes, heartbeatsReachEachVmOfAllZonesWithinOneRotation)
 {
     constexpr int vmsPerZone = 39;
     const auto vms = makeVms(5, vmsPerZone);
--- a/lacewing/testing/entrynodefixture.cpp
+++ b/lacewing/testing/entrynodefixture.cpp
@@ -1,4 +1,5 @@
-// Calls are answered at once, but for announcements that are to be stored later.
+// Calls are answered at once, except announcements if they are to be stored later, and orders and reports if loads
+// never end.
 
 #include "entrynodefixture.h"
 
@@ -10,8 +11,8 @@
 
 namespace {
 
-/// An address of the loopback that only this process uses: a port that was found free on one that all use may be taken
-/// by another test before it is bound.
+/// A loopback address that only this process uses: on a shared address, a port that was found free may be taken by
+/// another test before it is bound.
 std::string ownAddress()
 {
     constexpr std::uint32_t loopback = 0x7f000000;
--- a/lacewing/testing/entrynodefixture.h
+++ b/lacewing/testing/entrynodefixture.h
@@ -1,4 +1,5 @@
-// What tests of entry VMs need: a platform with a log of claims, settings of a VM on the loopback, an endpoint's entry.
+// Fixtures for tests of entry VMs: a platform with a claim log, settings of a VM on the loopback, and an endpoint's
+// entry.
 
 #pragma once
 
@@ -12,27 +13,27 @@
 
 namespace lacewing::testing {
 
-/// A platform with a log of claims; one of a VM that is not let in is not answered.
+/// A platform with a claim log. Claims of VMs in `cutOff` are not answered.
 struct FakePlatform {
     std::vector<VmContact> contacts;
     std::vector<VmId> claims;
     std::set<VmId> cutOff;
-    asio::io_context *storedLater = nullptr; ///< announcements are stored after what follows them was asked
-    asio::io_context *loadsNeverEnd = nullptr; ///< endpoints accept each order and hold a model, and nothing else ever
-    int orders = 0; ///< that were sent
+    asio::io_context *storedLater = nullptr; ///< if set, announcements are stored only in a later turn of this loop
+    asio::io_context *loadsNeverEnd = nullptr; ///< if set, endpoints accept each order but never hold more than a model
+    int orders = 0; ///< number of orders sent
 
-    /// @param vm that calls it; the platform outlives the port
+    /// @param vm the caller; the platform outlives the port
     PlatformPort port(const VmId &vm);
 };
 
 /// @param vm name of a VM of zone "z"
-/// @return settings with addresses that are free
+/// @return settings with free addresses
 EntryNodeSettings settingsOf(const VmId &vm);
 
 /// @return configuration with the service "s", whose engines hold the model "m"
 std::shared_ptr<const RouteConfig> makeEngineConfig();
 
-/// @param leaving whether it has said that it leaves
+/// @param leaving whether the endpoint is leaving
 /// @return entry of endpoint "i-1" of service "s"
 EndpointEntry makeEntry(bool leaving);
 
--- a/lacewing/testing/entrynodetest.cpp
+++ b/lacewing/testing/entrynodetest.cpp
@@ -1,4 +1,5 @@
-// Two entry VMs of one zone on the loopback: what one reads of the platform's list, the other knows too.
+// Entry VMs of one zone on the loopback: what one VM reads from the platform reaches the others, and the zone passes to
+// a larger VM. Guards against endpoints that only one VM knows to be leaving, removed or restarted.
 
 #include "entrynode.h"
 
@@ -18,8 +19,8 @@
 
 namespace {
 
-struct Pair {
-    Pair()
+struct VmPair {
+    VmPair()
         : one(context, settingsOf("vm1"), RequestFormat {}, platform.port("vm1")),
           two(context, settingsOf("vm2"), RequestFormat {}, platform.port("vm2"))
     {
@@ -43,8 +44,8 @@
     EntryNode two;
 };
 
-/// Lets VM one become the owner and VM two rely on its reads of the list.
-void coverTwo(Pair &vms)
+/// Waits until VM one is the owner and VM two relies on its reads of the list.
+void makeTwoRelyOnOne(VmPair &vms)
 {
     cr_assert(vms.runUntil([&] {
         vms.one.listRead({0});
@@ -53,8 +54,8 @@
     }));
 }
 
-/// Calls of a VM on the store fail until it takes that for an outage, then succeed again.
-void sufferOutage(Pair &vms, EntryNode &node)
+/// Lets store calls of a VM fail until it counts as an outage, then succeed again.
+void simulateOutage(VmPair &vms, EntryNode &node)
 {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(2200);
     vms.runUntil([&] {
@@ -64,7 +65,7 @@
     node.storeAnswered(true);
 }
 
-bool knows(EntryNode &node)
+bool isListedAt(EntryNode &node)
 {
     return node.gateway().fleet().endpoints.contains("i-1");
 }
@@ -73,9 +74,9 @@
 
 Test(entrynode, theOwnersReadOfTheListReachesTheOtherVms)
 {
-    Pair vms;
-    // An endpoint that begins to leave must get nothing new from any VM of the zone, read by itself or not.
-    coverTwo(vms);
+    VmPair vms;
+    // No VM of the zone may send a new request to a leaving endpoint, whether or not it has read the list itself.
+    makeTwoRelyOnOne(vms);
     vms.one.putEndpoint(makeEntry(false));
     vms.one.listRead({1});
     const auto known = [&] { return vms.two.gateway().fleet().endpoints.contains("i-1"); };
@@ -107,11 +108,11 @@
 
 Test(entrynode, aChangeOlderThanTheOwnReadIsLeftOut)
 {
-    Pair vms;
+    VmPair vms;
     cr_assert(vms.runUntil([&] { return vms.one.heard("vm2"); }));
     vms.two.listRead({10});
     vms.one.putEndpoint(makeEntry(false));
-    vms.one.listRead({5}); // an entry that VM two has read to be gone
+    vms.one.listRead({5}); // VM two has read that this entry is gone
     vms.one.listRead({11});
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(600);
     vms.runUntil([&] { return std::chrono::steady_clock::now() > end; });
@@ -120,51 +121,51 @@
 
 Test(entrynode, otherVmsReadSeldomWhileTheOwnerReads)
 {
-    Pair vms;
+    VmPair vms;
     cr_assert(vms.runUntil([&] {
         vms.one.listRead({1});
         vms.two.listRead({1});
         return vms.two.listInterval() > vms.one.listInterval();
     }));
-    // The owner's reads end: the other one reads by itself again.
+    // Once the owner stops reading, the other VM reads the list itself again.
     cr_assert(vms.runUntil([&] { return vms.two.listInterval() == vms.one.listInterval(); }));
 }
 
-Test(entrynode, anEndpointThatLapsedIsKeptForSomeWhileByThoseWhoSawTheOutage)
+Test(entrynode, aRemovedEndpointIsKeptForATimeByVmsThatSawTheOutage)
 {
-    Pair vms;
-    coverTwo(vms);
+    VmPair vms;
+    makeTwoRelyOnOne(vms);
     vms.one.putEndpoint(makeEntry(false));
     vms.one.listRead({1});
-    cr_assert(vms.runUntil([&] { return knows(vms.two); }));
-    sufferOutage(vms, vms.one);
-    vms.one.removeEndpoint("i-1"); // may have lapsed only
+    cr_assert(vms.runUntil([&] { return isListedAt(vms.two); }));
+    simulateOutage(vms, vms.one);
+    vms.one.removeEndpoint("i-1"); // its entry may only have expired
     vms.one.listRead({2});
-    cr_assert(knows(vms.one));
-    cr_assert(vms.runUntil([&] { return !knows(vms.two); })); // its store has never failed
-    cr_assert(knows(vms.one));
-    cr_assert(vms.runUntil([&] { return !knows(vms.one); })); // with no further read
+    cr_assert(isListedAt(vms.one));
+    cr_assert(vms.runUntil([&] { return !isListedAt(vms.two); })); // VM two saw no outage
+    cr_assert(isListedAt(vms.one));
+    cr_assert(vms.runUntil([&] { return !isListedAt(vms.one); })); // with no further read
 }
 
 Test(entrynode, anEndpointThatComesBackIsListedAgainForAll)
 {
-    Pair vms;
-    coverTwo(vms);
+    VmPair vms;
+    makeTwoRelyOnOne(vms);
     vms.one.putEndpoint(makeEntry(false));
     vms.one.listRead({1});
-    cr_assert(vms.runUntil([&] { return knows(vms.two); }));
-    sufferOutage(vms, vms.one);
+    cr_assert(vms.runUntil([&] { return isListedAt(vms.two); }));
+    simulateOutage(vms, vms.one);
     vms.one.removeEndpoint("i-1");
     vms.one.listRead({2});
-    cr_assert(vms.runUntil([&] { return !knows(vms.two); }));
-    vms.one.putEndpoint(makeEntry(false)); // it lives, and VM one has kept it all the while
+    cr_assert(vms.runUntil([&] { return !isListedAt(vms.two); }));
+    vms.one.putEndpoint(makeEntry(false)); // it is alive, and VM one still has it
     vms.one.listRead({3});
-    cr_assert(vms.runUntil([&] { return knows(vms.two); }));
+    cr_assert(vms.runUntil([&] { return isListedAt(vms.two); }));
 }
 
-Test(entrynode, aVmThatMissedAPassedChangeReadsTheListSoon)
+Test(entrynode, aVmThatMissedAForwardedChangeReadsTheListSoon)
 {
-    Pair vms;
+    VmPair vms;
     cr_assert(vms.runUntil([&] {
         vms.one.listRead({1});
         vms.two.listRead({1});
@@ -177,7 +178,7 @@
     vms.runUntil([&] { return std::chrono::steady_clock::now() > passed; });
     EntryNode late(vms.context, settingsOf("vm3"), RequestFormat {}, vms.platform.port("vm3"));
     cr_assert_not(late.start());
-    late.listRead({4}); // as of before the change, which went out before this VM was there
+    late.listRead({4}); // the list before the change, which was sent before this VM started
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(1500);
     vms.runUntil([&] {
         vms.one.listRead({5});
@@ -192,9 +193,9 @@
     }));
 }
 
-Test(entrynode, aVmThatIsBehindWithTheConfigurationIsToldSo)
+Test(entrynode, aVmThatIsBehindWithTheConfigurationIsNotified)
 {
-    Pair vms;
+    VmPair vms;
     std::int64_t told = 0;
     vms.two.onMoreConfig = [&told](std::int64_t offset) { told = offset; };
     vms.one.configRead(7);
@@ -203,25 +204,25 @@
 
 Test(entrynode, theVmsShareOneRetryBurst)
 {
-    Pair vms;
-    // Whatever the number of VMs, what they may save up together keeps within the burst of all.
+    VmPair vms;
+    // The sum of the retry bursts of all VMs stays within the configured burst, whatever the number of VMs.
     const auto sum = [&vms] { return vms.one.gateway().retryBurst() + vms.two.gateway().retryBurst(); };
     const double all = settingsOf("vm").retryBurst;
     cr_assert_leq(sum(), all);
-    // Both may start again once more with a full bucket each.
+    // Each VM may restart once with a full bucket, so the sum is at most half.
     cr_assert(vms.runUntil([&] { return vms.one.heard("vm2") && vms.two.heard("vm1") && 2 * sum() <= all; }));
     cr_assert_gt(2 * sum(), 0.9 * all);
     for (int number = 3; number <= 80; ++number) {
         const std::string port = std::to_string(10000 + number);
         vms.platform.contacts.push_back({"vm" + std::to_string(number), "z", "127.0.0.1:" + port});
     }
-    vms.one.meetVms();
+    vms.one.refreshVms();
     cr_assert_leq(vms.one.gateway().retryBurst(), 1);
 }
 
-Test(entrynode, aHangupReadsTheSettingsAgainAndTheirLimitsHoldAtOnce)
+Test(entrynode, aHangupSignalReloadsTheSettingsAndLimitsApplyAtOnce)
 {
-    Pair vms;
+    VmPair vms;
     EntryNodeSettings next = settingsOf("vm1");
     next.retryBurst = 4 * next.retryBurst;
     vms.one.onReload = [&] { vms.one.applySettings(next); };
@@ -256,7 +257,7 @@
 
 Test(entrynode, aRestartUnderTheSameIdReachesTheOtherVmsAndAnOldEntryDoesNot)
 {
-    Pair vms;
+    VmPair vms;
     cr_assert(vms.runUntil([&] { return vms.one.heard("vm2") && vms.two.heard("vm1"); }));
     cr_assert(vms.runUntil([&] { return vms.platform.claims.size() == 1; }));
     vms.one.listRead({0}); // as each VM does at its start
@@ -279,15 +280,15 @@
     owner.listRead({6});
     cr_assert(vms.runUntil([&] { return bornAt(other) == 2000; }));
     cr_assert_not(other.gateway().fleet().endpoints.at("i-1").entry.leaving);
-    other.putEndpoint(entry); // its own, slower read of the list
+    other.putEndpoint(entry); // its own read of the list is slower
     cr_assert_eq(bornAt(other), 2000);
 }
 
 namespace {
 
-/// The owner of a zone of its own, whose loads never end, and a VM with more processor time that the test plays.
-struct CheckingOwner {
-    explicit CheckingOwner(asio::io_context &context) : larger(context, "vm2"), settings(settingsOf("vm1"))
+/// The owner of a zone whose loads never end, and a VM with more processor time that the test controls.
+struct LoadCheckingOwner {
+    explicit LoadCheckingOwner(asio::io_context &context) : larger(context, "vm2"), settings(settingsOf("vm1"))
     {
         this->platform.loadsNeverEnd = &context;
         this->platform.contacts = {this->larger.contact()};
@@ -299,8 +300,8 @@
         this->node->listRead({1});
     }
 
-    /// The other VM waits for an adapter.
-    void want()
+    /// Reports demand for an adapter from the other VM.
+    void requestAdapter()
     {
         wire::WantedWeights want;
         want.name = "m/a1";
@@ -312,11 +313,11 @@
         this->larger.send(this->settings.datagramAddress, datagram);
     }
 
-    /// The other VM makes its processor time known.
-    void showSize()
+    /// Announces the processor time of the other VM.
+    void announceProcessorTime()
     {
         wire::VmDatagram datagram;
-        datagram.millicores = largerBy * this->settings.millicores;
+        datagram.millicores = yieldFactor * this->settings.millicores;
         this->larger.send(this->settings.datagramAddress, datagram);
     }
 
@@ -337,18 +338,18 @@
 
 } // namespace
 
-Test(entrynode, anOwnerThatYieldsWhileALoadIsCheckedGoesOn)
+Test(entrynode, anOwnerThatYieldsDuringALoadCheckContinues)
 {
-    // The same as placementowner::anOwnershipThatEndsAtAnyQuestionWhetherToOrderEndsNothingElse, with the claim itself:
-    // owners hear of a larger VM while they look every few milliseconds whether a load has ended. One in two of them
-    // used to give its zone up within such a look.
+    // The placementowner test of an ownership that ends within mayOrder(), here with the claim itself: owners hear of a
+    // larger VM while they check every few milliseconds whether a load has ended. If a check itself yields the zone,
+    // which happened to one owner in two, state that the check uses is destroyed.
     constexpr std::size_t count = 16;
     constexpr auto apart = std::chrono::milliseconds(7);
     asio::io_context context;
-    std::vector<std::unique_ptr<CheckingOwner>> owners;
+    std::vector<std::unique_ptr<LoadCheckingOwner>> owners;
     while (owners.size() < count) {
-        owners.push_back(std::make_unique<CheckingOwner>(context));
-        context.run_for(apart); // so that their timers are not in step
+        owners.push_back(std::make_unique<LoadCheckingOwner>(context));
+        context.run_for(apart); // so that their timers run at different times
     }
     const auto all = [&](const auto &condition) { return std::all_of(owners.begin(), owners.end(), condition); };
     const auto runUntil = [&](const auto &condition) {
@@ -360,12 +361,12 @@
     };
     runUntil([](const auto &owner) { return !owner->platform.claims.empty(); });
     for (const auto &owner : owners) {
-        owner->want();
+        owner->requestAdapter();
     }
-    context.run_for(leastTenure + milliseconds(250)); // shorter than a load may take
+    context.run_for(minTenure + milliseconds(250)); // shorter than the limit of a load
     for (const auto &owner : owners) {
         cr_assert_gt(owner->platform.orders, 2, "a load is being checked");
-        owner->showSize();
+        owner->announceProcessorTime();
     }
     runUntil([](const auto &owner) { return owner->hasYielded(); });
     context.run_for(std::chrono::milliseconds(100));
--- a/lacewing/testing/joinedvms.cpp
+++ b/lacewing/testing/joinedvms.cpp
@@ -1,4 +1,4 @@
-// One tick: VM lists that are due, answers to reads, then for each VM its inbox and a Tick event.
+// A tick delivers the VM lists that are due and the answers to reads, then the inbox of each VM and a Tick event.
 
 #include "joinedvms.h"
 
--- a/lacewing/testing/joinedvms.h
+++ b/lacewing/testing/joinedvms.h
@@ -1,5 +1,5 @@
-// Several cores joined by hand on a paused clock, with a fake log and a fake VM list: for the tests of
-// ownership, configuration and membership. Messages take one tick; there are no callers and no engines.
+// Simulates several VM cores on a paused clock, with a fake log and a fake VM list, for tests of ownership,
+// configuration and membership. Messages take one tick; there are no callers and no engines.
 
 #pragma once
 
@@ -42,7 +42,7 @@
     TimePoint now {std::chrono::seconds(1000)};
     FakeLog log;
     std::map<VmId, JoinedVm> vms;
-    std::vector<VmListEntry> listed; ///< what the platform knows; shown after listLag
+    std::vector<VmListEntry> listed; ///< VM list of the platform; visible after listLag
     Duration listLag {0};
     bool listDown = false;
     std::set<std::pair<VmId, VmId>> cuts; ///< messages from first to second are lost
@@ -56,9 +56,9 @@
     void kill(const VmId &vm);
     void unlist(const VmId &vm);
     void cut(const VmId &a, const VmId &b);
-    /// Lets time pass in ticks.
+    /// Advances the clock in ticks.
     void advance(Duration span);
-    /// Appends a record to the log as someone else would.
+    /// Appends a record to the log on behalf of another writer.
     LogOffset append(wire::LogRecord record);
     /// Submits a change at a VM, based on a revision.
     void submit(const VmId &vm, std::int64_t token, std::int64_t basedOn, std::vector<wire::ConfigChange> changes);
--- a/lacewing/testing/listeningvm.cpp
+++ b/lacewing/testing/listeningvm.cpp
@@ -1,4 +1,4 @@
-// Its socket is read by hand and never waited for, so that a test decides what is seen when.
+// The socket is polled and never waited for, so that the test determines when datagrams are read.
 
 #include "listeningvm.h"
 
@@ -12,7 +12,7 @@
 
 using Udp = asio::ip::udp;
 
-constexpr std::size_t largestDatagram = 65536;
+constexpr std::size_t maxDatagramBytes = 65536;
 
 } // namespace
 
@@ -40,16 +40,16 @@
 std::vector<wire::VmDatagram> ListeningVm::received()
 {
     std::vector<wire::VmDatagram> all;
-    std::array<char, largestDatagram> space {};
+    std::array<char, maxDatagramBytes> bytes {};
     for (;;) {
         NetError error;
         Udp::endpoint sender;
-        const std::size_t size = this->socket.receive_from(asio::buffer(space), sender, 0, error);
+        const std::size_t size = this->socket.receive_from(asio::buffer(bytes), sender, 0, error);
         if (error) {
             return all;
         }
         wire::VmDatagram datagram;
-        if (!decode(std::string_view(space.data(), size), datagram)) {
+        if (!decode(std::string_view(bytes.data(), size), datagram)) {
             all.push_back(std::move(datagram));
         }
     }
--- a/lacewing/testing/listeningvm.h
+++ b/lacewing/testing/listeningvm.h
@@ -1,4 +1,4 @@
-// A VM of a test: sends whatever datagrams it is told to, as an owner of its zone or not, and keeps what it receives.
+// A simulated VM for tests: sends the datagrams that the test gives it, and collects the datagrams it receives.
 
 #pragma once
 
@@ -23,14 +23,14 @@
     /// @param ownZone its zone
     ListeningVm(asio::io_context &context, VmId vm, ZoneName ownZone = "z");
 
-    /// @return how other VMs find it
+    /// @return contact data for other VMs
     VmContact contact() const;
 
     /// @param to address of another VM
-    /// @param datagram whose sender and number are filled in
+    /// @param datagram to send; its sender and number are filled in
     void send(const std::string &to, wire::VmDatagram datagram);
 
-    /// @return all that came since the last call
+    /// @return all datagrams received since the last call
     std::vector<wire::VmDatagram> received();
 
 private:
@@ -40,13 +40,13 @@
     std::int64_t nextNumber = 1;
 };
 
-/// @param offset of the last change of the list that was passed on
+/// @param offset of the last change of the list that was forwarded
 /// @return notice of an owner of zone "z" that has just read the list
 wire::VmDatagram noticeOfOwner(std::int64_t offset);
 
 /// @param offset of the list after the change
-/// @param id of an endpoint that has begun to leave
-/// @return that change, passed on
+/// @param id of an endpoint that starts to leave
+/// @return datagram that forwards the change
 wire::VmDatagram leavingPassedOn(std::int64_t offset, const std::string &id);
 
 } // namespace lacewing::testing
--- a/lacewing/testing/stopprogresstest.cpp
+++ b/lacewing/testing/stopprogresstest.cpp
@@ -1,4 +1,5 @@
-// How a planned stop goes on, look by look.
+// Each step of a planned stop. Guards against a stop that refuses connections while requests are open, that cuts an
+// answer by ending the process, and that exceeds its time limit.
 
 #include "stopprogress.h"
 
@@ -17,22 +18,22 @@
 
 } // namespace
 
-Test(stopprogress, theListenerStaysOpenForItsTimeAndUntilRequestsAreAnswered)
+Test(stopprogress, theListenerClosesAfterItsMinimumTimeOnceRequestsAreAnswered)
 {
     cr_assert(stepAt(true, true, 0, milliseconds(2999)) == StopStep::Wait);
     cr_assert(stepAt(true, false, 1, milliseconds(3000)) == StopStep::Wait);
     cr_assert(stepAt(true, true, 1, milliseconds(3000)) == StopStep::CloseListener);
 }
 
-// Ending while a connection is open cut the answer that was on its way there.
-Test(stopprogress, theProcessEndsOnceTheCallersHaveClosed)
+// Ending the process while a connection was open cut off the answer that was in flight on it.
+Test(stopprogress, theProcessEndsOnceCallersHaveClosedTheirConnections)
 {
     cr_assert(stepAt(false, true, 1, milliseconds(4000)) == StopStep::Wait);
     cr_assert(stepAt(false, false, 0, milliseconds(4000)) == StopStep::Wait);
     cr_assert(stepAt(false, true, 0, milliseconds(4000)) == StopStep::End);
 }
 
-Test(stopprogress, theBoundGoesBeforeAllElse)
+Test(stopprogress, theTimeLimitTakesPrecedence)
 {
     cr_assert(stepAt(true, false, 3, milliseconds(7600)) == StopStep::End);
     cr_assert(stepAt(false, false, 3, milliseconds(7600)) == StopStep::End);
--- a/lacewing/testing/vmnewstest.cpp
+++ b/lacewing/testing/vmnewstest.cpp
@@ -1,4 +1,5 @@
-// What reaches a VM of what others say, by way of a third one and with datagrams lost.
+// Updates that reach a VM through a relay or after lost datagrams. Guards against an adapter that a VM takes for loaded
+// after it missed the notice of the unload, and against updates that are not forwarded or are forwarded twice.
 
 #include "entrynode.h"
 
@@ -16,7 +17,7 @@
 
 namespace {
 
-/// An entry VM of zone "z", a neighbour there and a VM of another zone, both played by the test.
+/// An entry VM of zone "z", a neighbor there and a VM of another zone; the test sends the datagrams of the latter two.
 struct Vms {
     Vms() : neighbour(context, "vm2"), distant(context, "vm3", "y"), settings(settingsOf("vm1"))
     {
@@ -44,8 +45,8 @@
         return holds;
     }
 
-    /// @return what the VM asks for, once it does
-    wire::NewsAsked awaitQuestion(ListeningVm &owner)
+    /// @return the request for missed updates, once the VM sends it
+    wire::NewsAsked awaitUpdateRequest(ListeningVm &owner)
     {
         wire::NewsAsked asked;
         cr_assert(this->runUntil([&] {
@@ -95,14 +96,14 @@
 
 } // namespace
 
-Test(vmnews, aMissedDifferenceIsAskedForAndNotHiddenByTheNext)
+Test(vmnews, aMissedIncrementalNoticeIsRequestedAndNotHiddenByTheNext)
 {
     Vms vms;
     const std::string &address = vms.settings.datagramAddress;
     vms.neighbour.send(address, change(1, "m/a1", {}));
-    // The second one, by which m/a1 is unloaded, is lost.
+    // The second notice, which reports the unload of m/a1, is lost.
     vms.neighbour.send(address, change(3, "m/a3", {}));
-    const wire::NewsAsked asked = vms.awaitQuestion(vms.neighbour);
+    const wire::NewsAsked asked = vms.awaitUpdateRequest(vms.neighbour);
     cr_assert_eq(asked.zone, "z");
     cr_assert_eq(asked.known, 1);
     cr_assert_eq(vms.held().count("m/a1"), 1U);
@@ -124,7 +125,7 @@
     cr_assert_eq(vms.held().count("m/a1"), 0U);
 }
 
-Test(vmnews, anOvertakenDifferenceIsNotAskedFor)
+Test(vmnews, aReorderedIncrementalNoticeIsNotRequested)
 {
     Vms vms;
     vms.neighbour.send(vms.settings.datagramAddress, change(1, "m/a1", {}));
@@ -135,7 +136,7 @@
     cr_assert_not(vms.held().contains("m/a1"));
 }
 
-Test(vmnews, aDatagramOfAnotherZoneIsTakenInAndPassedOnWithinTheZone)
+Test(vmnews, aDatagramFromAnotherZoneIsAppliedAndForwardedWithinTheZone)
 {
     Vms vms;
     wire::EndpointNews failed;
@@ -161,7 +162,7 @@
         return false;
     }));
     cr_assert_eq(vms.node->gateway().fleet().endpoints.at("i-1").failures.reports.size(), 1U);
-    // One that comes within the zone goes no further.
+    // A datagram from the same zone is not forwarded.
     vms.neighbour.send(vms.settings.datagramAddress, carrier);
     vms.context.run_for(std::chrono::milliseconds(200));
     for (const wire::VmDatagram &datagram : vms.neighbour.received()) {
@@ -169,7 +170,7 @@
     }
 }
 
-Test(vmnews, anEndpointThatThreeVmsCouldNotUseGetsNothing)
+Test(vmnews, anEndpointThatThreeVmsReportAsFailedIsAvoided)
 {
     Vms vms;
     ListeningVm third(vms.context, "vm4");
@@ -182,7 +183,7 @@
         return isShunned(endpoint.failures, RuntimeClock().now());
     };
     EndpointEntry other = makeEntry(false);
-    other.id = "i-2"; // half of a service's endpoints may be shunned
+    other.id = "i-2"; // at most half of a service's endpoints are avoided
     vms.node->putEndpoint(other);
     vms.neighbour.send(vms.settings.datagramAddress, datagram);
     vms.distant.send(vms.settings.datagramAddress, datagram);
--- a/lacewing/testing/zoneclaimtest.cpp
+++ b/lacewing/testing/zoneclaimtest.cpp
@@ -1,5 +1,6 @@
-// Who may order the endpoints of a zone: claims over silent and leaving owners, turns, isolation, doubt, fencing; and
-// many VMs with random faults against a log that holds what was claimed.
+// Ownership of a zone: claims over silent and leaving owners, claim turns, isolated VMs, stalls and fencing numbers,
+// and a simulation of eight VMs with random faults. Guards against two VMs that issue orders with the same fencing
+// number, and against a zone that is left without an owner.
 
 #include <criterion/criterion.h>
 
@@ -19,17 +20,18 @@
 ZoneClaim ownerOf(std::int64_t fencing, const ZoneClaimSettings &settings, TimePoint now)
 {
     ZoneClaim claim;
-    noteClaimAnswer(claim, settings, true, fencing, now);
+    applyClaimReply(claim, settings, true, fencing, now);
     return claim;
 }
 
-/// VMs of one zone with a log, cuts from each other and from the log, freezes and stops, in steps of 50 ms.
+/// VMs of one zone with a log, in steps of 50 ms. Faults: VMs are cut off from each other or from the log, frozen or
+/// restarted.
 struct Simulation {
     struct Vm {
         ZoneClaim claim;
-        bool cut = false; ///< from the other VMs
+        bool cut = false; ///< cut off from the other VMs
         bool storeCut = false;
-        int frozen = 0; ///< steps left
+        int frozen = 0; ///< remaining steps of a freeze
         bool wasFrozen = false;
     };
 
@@ -76,25 +78,25 @@
         }
     }
 
-    void ask(std::size_t index)
+    void queryStore(std::size_t index)
     {
         Vm &vm = this->vms[index];
         const ZoneView view = this->viewOf(index);
         if (shouldClaim(vm.claim, view, this->now)) {
             if (vm.storeCut) {
-                noteClaimUnanswered(vm.claim, this->now);
+                recordClaimFailure(vm.claim, this->now);
                 return;
             }
             const bool gained = vm.claim.newest == this->end;
             this->end += gained ? 1 : 0;
             this->claims += gained ? 1 : 0;
-            noteClaimAnswer(vm.claim, this->settings, gained, this->end, this->now);
+            applyClaimReply(vm.claim, this->settings, gained, this->end, this->now);
         } else if (shouldConfirm(vm.claim, this->settings, view, this->now) && !vm.storeCut) {
-            noteNewest(vm.claim, this->end, this->now, this->now);
+            applyNewestClaim(vm.claim, this->end, this->now, this->now);
         }
     }
 
-    /// One step; checks what endpoints would see.
+    /// Runs one step and checks the orders that endpoints would get.
     void step()
     {
         this->now += milliseconds(50);
@@ -107,22 +109,22 @@
                 continue;
             }
             if (std::exchange(vm.wasFrozen, false)) {
-                noteStall(vm.claim, this->now);
+                recordStall(vm.claim, this->now);
             }
-            this->ask(index);
+            this->queryStore(index);
             if (!mayOrder(vm.claim, this->settings, this->now)) {
                 continue;
             }
-            for (const Vm &other : this->vms) { // two VMs never order with one number
+            for (const Vm &other : this->vms) { // two VMs never issue orders with the same fencing number
                 const bool same = other.claim.held && other.claim.fencing == vm.claim.fencing;
                 cr_assert(&other == &vm || !same);
             }
             cr_assert_leq(vm.claim.fencing, this->end);
             orderers += 1;
-            if (this->tick % 10 == 0) { // notices, twice a second
+            if (this->tick % 10 == 0) { // owners send notices twice a second
                 for (std::size_t to = 0; to < this->vms.size(); ++to) {
                     if (this->hears(to, index) && this->vms[to].frozen == 0) {
-                        noteOwner(this->vms[to].claim, vm.claim.fencing, this->now);
+                        recordOwner(this->vms[to].claim, vm.claim.fencing, this->now);
                     }
                 }
             }
@@ -135,9 +137,9 @@
     ZoneClaimSettings settings;
     std::vector<Vm> vms;
     TimePoint now = start;
-    std::int64_t end = 0; ///< of the log
+    std::int64_t end = 0; ///< end offset of the log
     int claims = 0;
-    int ordering = 0; ///< steps in which one VM may order, and no other
+    int ordering = 0; ///< steps in which exactly one VM may issue orders
     int tick = 0;
 };
 
@@ -148,73 +150,73 @@
     ZoneClaim claim;
     beginClaim(claim, start);
     for (TimePoint now = start; now < start + milliseconds(60000); now += milliseconds(500)) {
-        noteOwner(claim, 7, now);
+        recordOwner(claim, 7, now);
         cr_assert_not(shouldClaim(claim, wholeZone, now + milliseconds(499)));
     }
 }
 
-Test(zoneclaim, aSilentOwnerIsReplacedInTurns)
+Test(zoneclaim, vmsClaimTheZoneOfASilentOwnerInTurn)
 {
     ZoneClaim claim;
-    noteOwner(claim, 7, start);
-    cr_assert_not(shouldClaim(claim, wholeZone, start + ownerSilence - milliseconds(1)));
-    cr_assert(shouldClaim(claim, wholeZone, start + ownerSilence));
+    recordOwner(claim, 7, start);
+    cr_assert_not(shouldClaim(claim, wholeZone, start + ownerTimeout - milliseconds(1)));
+    cr_assert(shouldClaim(claim, wholeZone, start + ownerTimeout));
     const ZoneView second {4, 4, 1};
-    cr_assert_not(shouldClaim(claim, second, start + ownerSilence));
-    cr_assert(shouldClaim(claim, second, start + ownerSilence + claimTurn));
+    cr_assert_not(shouldClaim(claim, second, start + ownerTimeout));
+    cr_assert(shouldClaim(claim, second, start + ownerTimeout + claimTurnInterval));
     const ZoneView last {400, 400, 399};
-    cr_assert(shouldClaim(claim, last, start + ownerSilence + claimTurn * mostTurns));
+    cr_assert(shouldClaim(claim, last, start + ownerTimeout + claimTurnInterval * maxClaimTurns));
 }
 
-Test(zoneclaim, aLeavingOwnerIsReplacedAtOnceWithoutADelayOfOrders)
+Test(zoneclaim, aLeavingOwnerIsReplacedAtOnceAndOrdersAreNotDelayed)
 {
     ZoneClaim claim;
-    noteOwner(claim, 7, start);
-    noteOwnerLeaving(claim);
+    recordOwner(claim, 7, start);
+    recordOwnerLeaving(claim);
     cr_assert(shouldClaim(claim, wholeZone, start));
-    cr_assert(noteClaimAnswer(claim, {}, true, 8, start));
+    cr_assert(applyClaimReply(claim, {}, true, 8, start));
     cr_assert(mayOrder(claim, {}, start));
 }
 
-Test(zoneclaim, aVmThatHearsFewOfItsZoneLeavesTheClaimToOthers)
+Test(zoneclaim, aVmThatHearsLessThanHalfOfItsZoneClaimsLater)
 {
     ZoneClaim claim;
-    noteOwner(claim, 7, start);
+    recordOwner(claim, 7, start);
     const ZoneView alone {4, 1, 0};
-    cr_assert_not(shouldClaim(claim, alone, start + ownerSilence + isolatedWait - milliseconds(1)));
-    cr_assert(shouldClaim(claim, alone, start + ownerSilence + isolatedWait));
-    cr_assert(shouldClaim(claim, ZoneView {}, start + ownerSilence)); // the only VM of its zone
+    cr_assert_not(shouldClaim(claim, alone, start + ownerTimeout + isolatedClaimDelay - milliseconds(1)));
+    cr_assert(shouldClaim(claim, alone, start + ownerTimeout + isolatedClaimDelay));
+    cr_assert(shouldClaim(claim, ZoneView {}, start + ownerTimeout)); // the only VM of its zone
 }
 
-Test(zoneclaim, aLostRaceWaitsForTheWinner)
+Test(zoneclaim, aVmThatLostTheClaimRaceWaitsUntilTheWinnerIsSilent)
 {
     ZoneClaim claim;
-    noteOwner(claim, 7, start);
-    const TimePoint later = start + ownerSilence;
-    cr_assert_not(noteClaimAnswer(claim, {}, false, 8, later));
+    recordOwner(claim, 7, start);
+    const TimePoint later = start + ownerTimeout;
+    cr_assert_not(applyClaimReply(claim, {}, false, 8, later));
     cr_assert_eq(claim.newest, 8);
     cr_assert_not(shouldClaim(claim, wholeZone, later));
-    cr_assert(shouldClaim(claim, wholeZone, later + ownerSilence));
+    cr_assert(shouldClaim(claim, wholeZone, later + ownerTimeout));
 }
 
-Test(zoneclaim, ordersWaitUntilAnOwnerThatFellSilentHasNoticed)
+Test(zoneclaim, ordersWaitUntilTheSupersededOwnerHasNoticed)
 {
     ZoneClaim claim;
-    noteOwner(claim, 7, start);
-    const TimePoint later = start + ownerSilence;
-    cr_assert(noteClaimAnswer(claim, {}, true, 8, later));
+    recordOwner(claim, 7, start);
+    const TimePoint later = start + ownerTimeout;
+    cr_assert(applyClaimReply(claim, {}, true, 8, later));
     cr_assert_not(mayOrder(claim, {}, later + takeoverDelay - milliseconds(1)));
     cr_assert(mayOrder(claim, {}, later + takeoverDelay));
     cr_assert_gt(takeoverDelay, confirmInterval);
     ZoneClaimSettings unchecked;
     unchecked.endpointsCheckFencing = false;
     ZoneClaim other;
-    noteOwner(other, 7, start);
-    noteClaimAnswer(other, unchecked, true, 8, later);
+    recordOwner(other, 7, start);
+    applyClaimReply(other, unchecked, true, 8, later);
     cr_assert_not(mayOrder(other, unchecked, later + unchecked.turnDelay - milliseconds(1)));
 }
 
-Test(zoneclaim, anOwnerThatHearsFewOfItsZoneAsksTheStore)
+Test(zoneclaim, anOwnerThatHearsLessThanHalfOfItsZoneAsksTheStore)
 {
     const ZoneClaimSettings settings;
     ZoneClaim claim = ownerOf(5, settings, start);
@@ -222,29 +224,29 @@
     cr_assert_not(shouldConfirm(claim, settings, wholeZone, later));
     const ZoneView alone {4, 1, 0};
     cr_assert(shouldConfirm(claim, settings, alone, later));
-    cr_assert_not(noteNewest(claim, 5, later, later));
+    cr_assert_not(applyNewestClaim(claim, 5, later, later));
     cr_assert_not(shouldConfirm(claim, settings, alone, later));
-    cr_assert(noteNewest(claim, 6, later, later));
+    cr_assert(applyNewestClaim(claim, 6, later, later));
     cr_assert_not(mayOrder(claim, settings, later));
 }
 
-Test(zoneclaim, afterStandingStillNothingIsOrderedUntilTheStoreOrSilenceEndsTheDoubt)
+Test(zoneclaim, afterAStallNoOrdersUntilTheStoreConfirmsTheClaimOrNoOtherOwnerIsHeard)
 {
     ZoneClaimSettings settings;
     ZoneClaim claim = ownerOf(5, settings, start);
     const TimePoint thaw = start + milliseconds(7000);
-    noteStall(claim, thaw);
+    recordStall(claim, thaw);
     cr_assert_not(mayOrder(claim, settings, thaw));
     cr_assert(shouldConfirm(claim, settings, wholeZone, thaw));
     ZoneClaim confirmed = claim;
-    noteNewest(confirmed, 5, thaw + milliseconds(1), thaw + milliseconds(5));
+    applyNewestClaim(confirmed, 5, thaw + milliseconds(1), thaw + milliseconds(5));
     cr_assert(mayOrder(confirmed, settings, thaw + milliseconds(5)));
-    cr_assert(mayOrder(claim, settings, thaw + longestDoubt)); // the store is away
+    cr_assert(mayOrder(claim, settings, thaw + maxSuspectTime)); // the store is unavailable
     settings.endpointsCheckFencing = false;
-    cr_assert_not(mayOrder(claim, settings, thaw + longestDoubt));
+    cr_assert_not(mayOrder(claim, settings, thaw + maxSuspectTime));
 }
 
-Test(zoneclaim, ownerThatCantReachTheStoreGoesOnOnlyWhereFencingIsChecked)
+Test(zoneclaim, anOwnerThatCantReachTheStoreContinuesOnlyIfEndpointsCheckFencing)
 {
     ZoneClaimSettings settings;
     const ZoneClaim claim = ownerOf(5, settings, start);
@@ -254,47 +256,47 @@
     cr_assert_not(mayOrder(claim, settings, late));
 }
 
-Test(zoneclaim, aQuestionThatIsNotAnsweredConfirmsNothing)
+Test(zoneclaim, anUnansweredQueryDoesNotConfirmTheClaim)
 {
     ZoneClaimSettings settings;
     settings.endpointsCheckFencing = false;
     ZoneClaim claim = ownerOf(5, settings, start);
-    for (TimePoint now = start; now < start + settings.lifetime; now += claimRetry) {
-        noteClaimUnanswered(claim, now);
+    for (TimePoint now = start; now < start + settings.lifetime; now += claimRetryDelay) {
+        recordClaimFailure(claim, now);
         cr_assert_not(shouldConfirm(claim, settings, wholeZone, now));
-        cr_assert(shouldConfirm(claim, settings, wholeZone, now + claimRetry));
+        cr_assert(shouldConfirm(claim, settings, wholeZone, now + claimRetryDelay));
     }
     cr_assert_not(mayOrder(claim, settings, start + settings.turnDelay + settings.lifetime));
 }
 
-Test(zoneclaim, aHigherFencingNumberEndsOwnershipForGood)
+Test(zoneclaim, aHigherFencingNumberEndsOwnershipPermanently)
 {
     const ZoneClaimSettings settings;
     ZoneClaim claim = ownerOf(5, settings, start);
-    cr_assert_not(noteOwner(claim, 4, start));
+    cr_assert_not(recordOwner(claim, 4, start));
     cr_assert(mayOrder(claim, settings, start));
-    cr_assert(noteOwner(claim, 6, start));
+    cr_assert(recordOwner(claim, 6, start));
     cr_assert_not(mayOrder(claim, settings, start));
     ZoneClaim fenced = ownerOf(5, settings, start);
-    noteFenced(fenced, start);
+    recordFenced(fenced, start);
     cr_assert_not(mayOrder(fenced, settings, start + milliseconds(60000)));
     cr_assert_not(shouldClaim(fenced, wholeZone, start + milliseconds(100)));
 }
 
-Test(zoneclaim, aZoneIsYieldedToALargerVmAfterSomeWhile)
+Test(zoneclaim, aZoneIsYieldedToALargerVmAfterTheMinimumTenure)
 {
     ZoneClaim claim = ownerOf(5, {}, start);
     ZoneView view = wholeZone;
-    cr_assert_not(shouldYield(claim, view, start + leastTenure));
-    view.larger = true;
-    cr_assert_not(shouldYield(claim, view, start + leastTenure - milliseconds(1)));
-    cr_assert(shouldYield(claim, view, start + leastTenure));
-    noteYielded(claim, start + leastTenure);
-    cr_assert_not(mayOrder(claim, {}, start + leastTenure));
-    cr_assert_not(shouldClaim(claim, view, start + leastTenure));
+    cr_assert_not(shouldYield(claim, view, start + minTenure));
+    view.hasLargerVm = true;
+    cr_assert_not(shouldYield(claim, view, start + minTenure - milliseconds(1)));
+    cr_assert(shouldYield(claim, view, start + minTenure));
+    recordYield(claim, start + minTenure);
+    cr_assert_not(mayOrder(claim, {}, start + minTenure));
+    cr_assert_not(shouldClaim(claim, view, start + minTenure));
 }
 
-Test(zoneclaim, withoutFaultsTheFirstClaimStaysTheOnlyOne)
+Test(zoneclaim, withoutFaultsThereIsOnlyOneClaim)
 {
     Simulation zone(1);
     for (int step = 0; step < 2000; ++step) {
@@ -304,14 +306,14 @@
     cr_assert_geq(zone.ordering, 1900);
 }
 
-Test(zoneclaim, oneVmThatIsCutOffDoesNotTakeTheZoneFromItsOwner)
+Test(zoneclaim, aVmThatIsBrieflyCutOffDoesNotTakeTheZoneFromItsOwner)
 {
     Simulation zone(1);
     for (int step = 0; step < 100; ++step) {
         zone.step();
     }
-    zone.vms[3].cut = true; // it reaches the store, and endpoints
-    for (int step = 0; step < 110; ++step) { // shorter than it waits, as cuts are
+    zone.vms[3].cut = true; // from the other VMs; it still reaches the store and the endpoints
+    for (int step = 0; step < 110; ++step) { // shorter than the delay of an isolated VM, as cuts are
         zone.step();
     }
     zone.vms[3].cut = false;
@@ -321,7 +323,7 @@
     cr_assert_eq(zone.claims, 1);
 }
 
-Test(zoneclaim, underRandomFaultsNumbersAreNeverSharedAndSomebodyOwnsTheZone)
+Test(zoneclaim, underRandomFaultsFencingNumbersAreUniqueAndTheZoneGetsAnOwner)
 {
     for (unsigned seed = 0; seed < 200; ++seed) {
         Simulation zone(seed);
@@ -331,7 +333,7 @@
             }
             zone.step();
         }
-        for (auto &vm : zone.vms) { // the faults end
+        for (auto &vm : zone.vms) { // all faults end
             vm.cut = vm.storeCut = false;
             vm.frozen = 0;
         }
--- a/lacewing/vmgossip.cpp
+++ b/lacewing/vmgossip.cpp
@@ -1,5 +1,4 @@
-// The address of a VM is taken from its datagrams, so one that comes back elsewhere under its name is found by
-// its first heartbeat.
+// The address of a VM is taken from its datagrams: after a change of address, its first heartbeat is enough.
 
 #include "vmgossip.h"
 
@@ -23,7 +22,7 @@
     : clock(runtimeClock),
       self(std::move(own)),
       incarnation(ownIncarnation),
-      heartbeats(static_cast<std::uint64_t>(ownIncarnation)),
+      heartbeatTurn(static_cast<std::uint64_t>(ownIncarnation)),
       socket(ioContext)
 {
 }
@@ -51,28 +50,28 @@
 
 void VmGossip::close()
 {
-    NetError ignored; // the process ends
+    NetError ignored; // the process is ending
     this->socket.close(ignored);
 }
 
-void VmGossip::meet(const VmContact &contact)
+void VmGossip::addContact(const VmContact &contact)
 {
     const auto address = parseAddress(contact.address);
     if (!address || contact.vm == this->self.vm) {
         return;
     }
-    KnownVm &vm = this->known[contact.vm];
+    KnownVm &vm = this->knownVms[contact.vm];
     if (vm.everHeard && this->alive(contact.vm)) {
         return;
     }
     vm.address = Udp::endpoint(address->address(), address->port());
     vm.zone = contact.zone;
-    vm.met = this->clock.now();
+    vm.lastAnnounced = this->clock.now();
 }
 
 void VmGossip::receive()
 {
-    this->socket.async_receive_from(asio::buffer(this->space), this->sender,
+    this->socket.async_receive_from(asio::buffer(this->receiveBuffer), this->sender,
                                     [this](const NetError &error, std::size_t size) {
                                         if (error == asio::error::operation_aborted || !this->socket.is_open()) {
                                             return;
@@ -87,21 +86,21 @@
 void VmGossip::onDatagram(std::size_t size)
 {
     wire::VmDatagram datagram;
-    if (decode(std::string_view(this->space.data(), size), datagram) || datagram.vm == this->self.vm) {
+    if (decode(std::string_view(this->receiveBuffer.data(), size), datagram) || datagram.vm == this->self.vm) {
         return;
     }
     if (datagram.passedOn) {
         count(this->counts.received, kindOf(datagram), size);
-        this->takeInPassedOn(datagram);
+        this->receivePassedOn(datagram);
         return;
     }
     count(this->counts.received, datagram.__isset.passOn ? DatagramKind::PassedOn : kindOf(datagram), size);
-    this->takeIn(datagram);
+    this->receiveDirect(datagram);
 }
 
-void VmGossip::takeIn(const wire::VmDatagram &datagram)
+void VmGossip::receiveDirect(const wire::VmDatagram &datagram)
 {
-    KnownVm &vm = this->known[datagram.vm];
+    KnownVm &vm = this->knownVms[datagram.vm];
     const bool sameProcess = vm.everHeard && vm.incarnation == datagram.incarnation;
     if (sameProcess && datagram.number <= vm.number) {
         return;
@@ -127,43 +126,44 @@
     }
     Duration heldUp {0};
     if (datagram.__isset.sentMilliseconds) {
-        heldUp = noteDatagram(vm.delay, TimePoint(milliseconds(datagram.sentMilliseconds)), now);
+        heldUp = recordDatagram(vm.delay, TimePoint(milliseconds(datagram.sentMilliseconds)), now);
     }
     if (datagram.__isset.passOn && datagram.zone != this->self.zone) {
-        this->passOn(datagram);
+        this->forward(datagram);
         return;
     }
-    this->handOver(datagram, heldUp);
+    this->dispatch(datagram, heldUp);
 }
 
-void VmGossip::passOn(const wire::VmDatagram &carrier)
+void VmGossip::forward(const wire::VmDatagram &carrier)
 {
     wire::VmDatagram datagram;
     if (decode(carrier.passOn, datagram) || !datagram.passedOn || datagram.vm != carrier.vm) {
         return;
     }
-    for (const auto &[name, vm] : this->known) {
+    for (const auto &[name, vm] : this->knownVms) {
         if (vm.zone == this->self.zone && isAlive(vm, this->clock.now())) {
             this->sendBytes(vm, DatagramKind::PassedOn, carrier.passOn);
         }
     }
-    this->handOver(datagram, Duration {0});
+    this->dispatch(datagram, Duration {0});
 }
 
-void VmGossip::takeInPassedOn(const wire::VmDatagram &datagram)
+void VmGossip::receivePassedOn(const wire::VmDatagram &datagram)
 {
-    KnownVm &vm = this->known[datagram.vm];
+    KnownVm &vm = this->knownVms[datagram.vm];
     const auto address = parseAddress(datagram.address);
     if (!isAlive(vm, this->clock.now()) && address) {
         vm.address = Udp::endpoint(address->address(), address->port());
         vm.zone = datagram.zone;
-        vm.met = this->clock.now();
+        vm.lastAnnounced = this->clock.now();
     }
-    vm.leaving = datagram.leaving; // or has started again: of another zone, its heartbeats come some seconds apart
-    this->handOver(datagram, Duration {0});
+    vm.leaving
+        = datagram.leaving; // may also be reset after a restart; heartbeats from other zones are some seconds apart
+    this->dispatch(datagram, Duration {0});
 }
 
-void VmGossip::handOver(const wire::VmDatagram &datagram, Duration heldUp)
+void VmGossip::dispatch(const wire::VmDatagram &datagram, Duration heldUp)
 {
     if (datagram.__isset.placement && this->onPlacement) {
         this->onPlacement(datagram.vm, datagram.placement, heldUp);
@@ -180,21 +180,21 @@
     if (datagram.__isset.prompt && this->onPrompt) {
         this->onPrompt(datagram.prompt);
     }
-    if (datagram.__isset.newsAsked && this->onNewsAsked) {
-        this->onNewsAsked(datagram.vm, datagram.newsAsked);
+    if (datagram.__isset.newsAsked && this->onUpdateRequest) {
+        this->onUpdateRequest(datagram.vm, datagram.newsAsked);
     }
     if (datagram.__isset.endpointNews && this->onEndpointNews) {
         this->onEndpointNews(datagram.vm, datagram.zone, datagram.endpointNews);
     }
-    if (datagram.__isset.crashNews && this->onCrashNews) {
-        this->onCrashNews(datagram.crashNews);
+    if (datagram.__isset.crashNews && this->onCrashUpdate) {
+        this->onCrashUpdate(datagram.crashNews);
     }
     if (datagram.__isset.limitNews && this->onLimitNews) {
         this->onLimitNews(datagram.limitNews);
     }
 }
 
-wire::VmDatagram VmGossip::begin()
+wire::VmDatagram VmGossip::newDatagram()
 {
     wire::VmDatagram datagram;
     datagram.vm = this->self.vm;
@@ -207,9 +207,9 @@
     return datagram;
 }
 
-wire::VmDatagram VmGossip::beginTimed()
+wire::VmDatagram VmGossip::newTimedDatagram()
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_sentMilliseconds(toMilliseconds(this->clock.now().time_since_epoch()));
     return datagram;
 }
@@ -218,7 +218,7 @@
 {
     const bool within = vm.zone == this->self.zone;
     count(within ? this->counts.sentWithinZone : this->counts.sentToOtherZones, kind, bytes.size());
-    NetError lost; // a datagram that can't be sent is as one that is lost
+    NetError lost; // a datagram that can't be sent is treated as lost
     this->socket.send_to(asio::buffer(bytes), vm.address, 0, lost);
 }
 
@@ -227,94 +227,94 @@
     this->sendBytes(vm, kindOf(datagram), encode(datagram));
 }
 
-void VmGossip::sendToName(const VmId &vm, const wire::VmDatagram &datagram)
+void VmGossip::sendToVm(const VmId &vm, const wire::VmDatagram &datagram)
 {
-    const auto found = this->known.find(vm);
-    if (found != this->known.end()) {
+    const auto found = this->knownVms.find(vm);
+    if (found != this->knownVms.end()) {
         this->sendTo(found->second, datagram);
     }
 }
 
 void VmGossip::sendDemand(const VmId &vm, const wire::DemandReport &report)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_demand(report);
-    this->sendToName(vm, datagram);
+    this->sendToVm(vm, datagram);
 }
 
-void VmGossip::sendNewsAsked(const VmId &vm, const wire::NewsAsked &asked)
+void VmGossip::sendUpdateRequest(const VmId &vm, const wire::NewsAsked &asked)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_newsAsked(asked);
-    this->sendToName(vm, datagram);
+    this->sendToVm(vm, datagram);
 }
 
 void VmGossip::sendPlacement(const VmId &vm, const wire::PlacementNotice &notice)
 {
-    wire::VmDatagram datagram = this->beginTimed();
+    wire::VmDatagram datagram = this->newTimedDatagram();
     datagram.__set_placement(notice);
-    this->sendToName(vm, datagram);
+    this->sendToVm(vm, datagram);
 }
 
 void VmGossip::sendHeartbeat(const wire::CrashNews &news)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     if (!news.suspects.empty()) {
         datagram.__set_crashNews(news);
     }
     const std::string bytes = encode(datagram);
     const TimePoint now = this->clock.now();
-    if (this->leaving) { // whoever is not told goes on counting on this VM
-        for (const auto &[name, vm] : this->known) {
+    if (this->leaving) { // a VM that is not notified would continue to rely on this VM
+        for (const auto &[name, vm] : this->knownVms) {
             if (!isForgotten(vm, now)) {
                 this->sendBytes(vm, DatagramKind::Heartbeat, bytes);
             }
         }
         return;
     }
-    for (const KnownVm *vm : heartbeatTargets(this->known, this->self.zone, this->heartbeats++, now)) {
+    for (const KnownVm *vm : heartbeatTargets(this->knownVms, this->self.zone, this->heartbeatTurn++, now)) {
         this->sendBytes(*vm, DatagramKind::Heartbeat, bytes);
     }
 }
 
 void VmGossip::sendPlacementToAll(const wire::PlacementNotice &notice)
 {
-    wire::VmDatagram datagram = this->beginTimed();
+    wire::VmDatagram datagram = this->newTimedDatagram();
     datagram.__set_placement(notice);
     this->sendToAll(std::move(datagram));
 }
 
 void VmGossip::sendPromptToAll(const wire::PromptSent &prompt)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_prompt(prompt);
     this->sendToAll(std::move(datagram));
 }
 
-void VmGossip::sendEndpointNewsToAll(const wire::EndpointNews &news)
+void VmGossip::sendEndpointUpdateToAll(const wire::EndpointNews &news)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_endpointNews(news);
     this->sendToAll(std::move(datagram));
 }
 
-void VmGossip::sendCrashNewsToAll(const wire::CrashNews &news)
+void VmGossip::sendCrashUpdateToAll(const wire::CrashNews &news)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_crashNews(news);
     this->sendToAll(std::move(datagram));
 }
 
 void VmGossip::sendListToZone(const wire::ListChange &change)
 {
-    wire::VmDatagram datagram = this->beginTimed();
+    wire::VmDatagram datagram = this->newTimedDatagram();
     datagram.__set_listChange(change);
     this->sendToZone(datagram);
 }
 
-void VmGossip::sendLimitNews(const wire::LimitNews &news, bool zoneOnly)
+void VmGossip::sendLimitUpdate(const wire::LimitNews &news, bool zoneOnly)
 {
-    wire::VmDatagram datagram = this->begin();
+    wire::VmDatagram datagram = this->newDatagram();
     datagram.__set_limitNews(news);
     if (zoneOnly) {
         this->sendToZone(datagram);
@@ -326,7 +326,7 @@
 void VmGossip::sendToZone(const wire::VmDatagram &datagram)
 {
     const std::string bytes = encode(datagram);
-    for (const auto &[name, vm] : this->known) {
+    for (const auto &[name, vm] : this->knownVms) {
         if (vm.zone == this->self.zone && isAlive(vm, this->clock.now())) {
             this->sendBytes(vm, kindOf(datagram), bytes);
         }
@@ -335,7 +335,7 @@
 
 void VmGossip::sendToAll(wire::VmDatagram datagram)
 {
-    const DatagramRoutes routes = routesToAll(this->known, this->self.zone, this->clock.now());
+    const DatagramRoutes routes = routesToAll(this->knownVms, this->self.zone, this->clock.now());
     const DatagramKind kind = kindOf(datagram);
     const std::string bytes = encode(datagram);
     for (const KnownVm *vm : routes.direct) {
@@ -346,7 +346,7 @@
     }
     datagram.passedOn = true;
     datagram.address = this->self.address;
-    wire::VmDatagram carrier = this->begin();
+    wire::VmDatagram carrier = this->newDatagram();
     carrier.__set_passOn(encode(datagram));
     const std::string carried = encode(carrier);
     for (const KnownVm *vm : routes.relays) {
@@ -356,15 +356,15 @@
 
 bool VmGossip::alive(const VmId &vm) const
 {
-    const auto found = this->known.find(vm);
-    return found != this->known.end() && isAlive(found->second, this->clock.now());
+    const auto found = this->knownVms.find(vm);
+    return found != this->knownVms.end() && isAlive(found->second, this->clock.now());
 }
 
 std::size_t VmGossip::vmsInUse() const
 {
     const TimePoint now = this->clock.now();
     const auto inUse = [now](const auto &entry) { return !entry.second.leaving && !isForgotten(entry.second, now); };
-    return 1 + static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(), inUse));
+    return 1 + static_cast<std::size_t>(std::count_if(this->knownVms.begin(), this->knownVms.end(), inUse));
 }
 
 bool VmGossip::claimsBefore(const VmId &vm, std::int32_t vmMillicores) const
@@ -376,7 +376,7 @@
 {
     const TimePoint now = this->clock.now();
     ZoneView view;
-    for (const auto &[name, vm] : this->known) {
+    for (const auto &[name, vm] : this->knownVms) {
         if (vm.zone != this->self.zone || vm.leaving || isForgotten(vm, now)) {
             continue;
         }
@@ -384,7 +384,7 @@
         if (vm.everHeard && now - vm.heard < vmFreshness) {
             view.heard += 1;
             view.ahead += this->claimsBefore(name, vm.millicores) ? 1 : 0;
-            view.larger = view.larger || vm.millicores >= largerBy * this->millicores;
+            view.hasLargerVm = view.hasLargerVm || vm.millicores >= yieldFactor * this->millicores;
         }
     }
     return view;
@@ -393,7 +393,7 @@
 std::set<ZoneName> VmGossip::zonesInUse() const
 {
     std::set<ZoneName> zones {this->self.zone};
-    for (const auto &[name, vm] : this->known) {
+    for (const auto &[name, vm] : this->knownVms) {
         if (!isForgotten(vm, this->clock.now())) {
             zones.insert(vm.zone);
         }
@@ -403,7 +403,7 @@
 
 const std::map<VmId, KnownVm> &VmGossip::vms() const
 {
-    return this->known;
+    return this->knownVms;
 }
 
 } // namespace lacewing
--- a/lacewing/vmgossip.h
+++ b/lacewing/vmgossip.h
@@ -1,13 +1,14 @@
-// Datagrams between the entry VMs: who is alive, what each runs and waits for, what endpoints hold.
+// Exchanges datagrams between the entry VMs: which VMs are alive, the requests that each runs and queues, and the
+// weights that endpoints hold.
 //
 //   VmGossip gossip(context, clock, self, incarnation);
 //   gossip.open("10.0.0.1:7380");
-//   gossip.meet(contact);                 // VMs known from the platform
+//   gossip.addContact(contact);           // VMs known from the platform
 //   gossip.sendDemand(vm, report); gossip.sendPlacementToAll(notice); gossip.sendHeartbeat();
 //
-// A datagram states all of its subject, so that a lost one is made good by the next. One that is older than
-// the last from the same process is dropped. What is for all VMs reaches other zones by way of one VM in each
-// (datagramroutes); such a datagram says nothing of how its sender can be reached, and may be overtaken by others.
+// A datagram carries the full state of its subject, so that the next one makes up for a lost one. A datagram that is
+// older than the last one from the same process is dropped. Datagrams for all VMs reach other zones through a relay VM
+// in each zone (datagramroutes.h). A forwarded datagram does not show the address of its sender, and may be reordered.
 
 #pragma once
 
@@ -37,79 +38,83 @@
 public:
     VmGossip(asio::io_context &ioContext, RuntimeClock &runtimeClock, VmContact own, std::int64_t ownIncarnation);
 
-    /// @return what failed, if anything
+    /// @return error, if any
     NetError open();
     void close();
 
-    /// @param contact another VM, or a new address of one
-    void meet(const VmContact &contact);
+    /// Adds another VM, or updates the address of a VM that is not alive.
+    void addContact(const VmContact &contact);
 
     void sendDemand(const VmId &vm, const wire::DemandReport &report);
-    /// To all VMs of the zone and some of each other one; while leaving, to all.
-    /// @param news told again with it; may be empty
+    /// Sends a heartbeat to all VMs of the zone and some of each other zone; while leaving, to all VMs.
+    /// @param news crash update that is repeated with the heartbeat; may be empty
     void sendHeartbeat(const wire::CrashNews &news = {});
     void sendPlacementToAll(const wire::PlacementNotice &notice);
-    /// @param vm that lacks them
-    /// @param notice news that it has missed
+    /// Answers a request for missed updates.
+    /// @param vm recipient
+    /// @param notice updates that it has missed
     void sendPlacement(const VmId &vm, const wire::PlacementNotice &notice);
+    /// Requests missed updates.
     /// @param vm owner of a zone
-    /// @param asked which news of it are lacked
-    void sendNewsAsked(const VmId &vm, const wire::NewsAsked &asked);
+    /// @param asked which of its updates are missing
+    void sendUpdateRequest(const VmId &vm, const wire::NewsAsked &asked);
     void sendPromptToAll(const wire::PromptSent &prompt);
-    void sendEndpointNewsToAll(const wire::EndpointNews &news);
-    void sendCrashNewsToAll(const wire::CrashNews &news);
-    /// @param news of an endpoint
-    /// @param zoneOnly whether only VMs of this zone use it
-    void sendLimitNews(const wire::LimitNews &news, bool zoneOnly);
+    void sendEndpointUpdateToAll(const wire::EndpointNews &news);
+    void sendCrashUpdateToAll(const wire::CrashNews &news);
+    /// @param news limit update of an endpoint
+    /// @param zoneOnly whether only VMs of this zone use the endpoint
+    void sendLimitUpdate(const wire::LimitNews &news, bool zoneOnly);
 
-    /// @return whether the VM was heard lately
+    /// @return whether the VM was heard within vmLifetime
     bool alive(const VmId &vm) const;
     const std::map<VmId, KnownVm> &vms() const;
-    /// @return VMs that may be taking requests, this one included; those that can't be heard count, since they may
-    /// be cut off from this one only
+    /// @return number of VMs that may be serving requests, including this one. VMs that are not heard count, since they
+    /// may be cut off from this VM only.
     std::size_t vmsInUse() const;
 
-    /// @return what this VM sees of the others of its zone
+    /// @return the other VMs of the zone, as seen by this VM
     ZoneView zoneView() const;
 
-    /// Passes changes of the platform's list on to the VMs of this zone.
+    /// Forwards changes of the platform's list to the VMs of this zone.
     void sendListToZone(const wire::ListChange &change);
-    /// @return zones of all VMs in use, this one's included
+    /// @return zones of all VMs that may be running, including the zone of this VM
     std::set<ZoneName> zonesInUse() const;
 
-    /// Datagrams and bytes so far, for the metrics page.
+    /// Datagrams and bytes since the start, for the metrics page.
     DatagramCounts counts;
 
-    /// Told to the others with each datagram.
+    /// State of this VM that is sent with each datagram.
     bool leaving = false;
     std::int64_t configOffset = 0;
     std::int32_t millicores = 0;
 
-    /// The last argument is how long the datagram was held up on its way.
+    /// The last argument is the excess transit time of the datagram (datagramdelay.h).
     std::function<void(const VmId &, const wire::PlacementNotice &, Duration)> onPlacement;
     std::function<void(const VmId &, const ZoneName &, const wire::DemandReport &)> onDemand;
-    std::function<void(const VmId &, const ZoneName &)> onLeaving; ///< at each datagram of a VM that stops
+    std::function<void(const VmId &, const ZoneName &)>
+        onLeaving; ///< called for each datagram of a VM that is stopping
     std::function<void(const wire::PromptSent &)> onPrompt;
-    std::function<void(const VmId &, const wire::NewsAsked &)> onNewsAsked;
+    std::function<void(const VmId &, const wire::NewsAsked &)> onUpdateRequest;
     std::function<void(const VmId &, const ZoneName &, const wire::EndpointNews &)> onEndpointNews;
-    std::function<void(const wire::CrashNews &)> onCrashNews;
+    std::function<void(const wire::CrashNews &)> onCrashUpdate;
     std::function<void(const wire::LimitNews &)> onLimitNews;
-    std::function<void(const VmId &, const wire::ListChange &, Duration)> onList; ///< from VMs of this zone only
-    std::function<void(std::int64_t)> onConfigOffset; ///< another VM has read more than this one
+    std::function<void(const VmId &, const wire::ListChange &, Duration)>
+        onList; ///< only for datagrams from VMs of this zone
+    std::function<void(std::int64_t)> onConfigOffset; ///< another VM has read further than this one
 
 private:
     bool claimsBefore(const VmId &vm, std::int32_t vmMillicores) const;
     void receive();
     void onDatagram(std::size_t size);
-    void takeIn(const wire::VmDatagram &datagram);
-    void takeInPassedOn(const wire::VmDatagram &datagram);
-    void passOn(const wire::VmDatagram &carrier);
-    void handOver(const wire::VmDatagram &datagram, Duration heldUp);
-    wire::VmDatagram begin();
-    wire::VmDatagram beginTimed();
+    void receiveDirect(const wire::VmDatagram &datagram);
+    void receivePassedOn(const wire::VmDatagram &datagram);
+    void forward(const wire::VmDatagram &carrier);
+    void dispatch(const wire::VmDatagram &datagram, Duration heldUp);
+    wire::VmDatagram newDatagram();
+    wire::VmDatagram newTimedDatagram();
     void sendTo(const KnownVm &vm, const wire::VmDatagram &datagram);
     void sendBytes(const KnownVm &vm, DatagramKind kind, const std::string &bytes);
-    void sendToName(const VmId &vm, const wire::VmDatagram &datagram);
+    void sendToVm(const VmId &vm, const wire::VmDatagram &datagram);
     void sendToAll(wire::VmDatagram datagram);
     void sendToZone(const wire::VmDatagram &datagram);
 
@@ -117,11 +122,11 @@
     VmContact self;
     std::int64_t incarnation;
     std::int64_t nextNumber = 1;
-    std::uint64_t heartbeats; ///< turn of the next one, from a start of this process
+    std::uint64_t heartbeatTurn; ///< turn of the next heartbeat; each process starts at another number
     asio::ip::udp::socket socket;
     asio::ip::udp::endpoint sender;
-    std::array<char, 65536> space {};
-    std::map<VmId, KnownVm> known;
+    std::array<char, 65536> receiveBuffer {};
+    std::map<VmId, KnownVm> knownVms;
 };
 
 } // namespace lacewing
--- a/lacewing/zoneclaim.cpp
+++ b/lacewing/zoneclaim.cpp
@@ -1,4 +1,4 @@
-// The fencing number of a claim is its offset in the zone's log plus one: where the log ends behind it.
+// The fencing number of a claim is its offset in the zone's log plus one, which is the end offset of the log after it.
 
 #include "zoneclaim.h"
 
@@ -13,14 +13,14 @@
     return view.heard * 2 < view.inUse;
 }
 
-Duration claimWait(const ZoneClaim &claim, const ZoneView &view)
+Duration claimDelay(const ZoneClaim &claim, const ZoneView &view)
 {
-    const Duration silence = claim.ownerLeft ? Duration {0} : ownerSilence;
-    const auto turns = static_cast<std::int64_t>(std::min(view.ahead, mostTurns));
-    return silence + claimTurn * turns + (isIsolated(view) ? isolatedWait : Duration {0});
+    const Duration silence = claim.ownerLeft ? Duration {0} : ownerTimeout;
+    const auto turns = static_cast<std::int64_t>(std::min(view.ahead, maxClaimTurns));
+    return silence + claimTurnInterval * turns + (isIsolated(view) ? isolatedClaimDelay : Duration {0});
 }
 
-bool loseTo(ZoneClaim &claim, std::int64_t fencing, TimePoint now)
+bool recordNewerClaim(ZoneClaim &claim, std::int64_t fencing, TimePoint now)
 {
     claim.newest = std::max(claim.newest, fencing);
     claim.newestHeard = now;
@@ -34,44 +34,44 @@
 
 void beginClaim(ZoneClaim &claim, TimePoint now)
 {
-    claim.newestHeard = now - (ownerSilence - ownerSilenceAtStart);
+    claim.newestHeard = now - (ownerTimeout - ownerTimeoutAtStart);
 }
 
-bool noteOwner(ZoneClaim &claim, std::int64_t fencing, TimePoint now)
+bool recordOwner(ZoneClaim &claim, std::int64_t fencing, TimePoint now)
 {
-    return fencing >= claim.newest && loseTo(claim, fencing, now);
+    return fencing >= claim.newest && recordNewerClaim(claim, fencing, now);
 }
 
-void noteOwnerLeaving(ZoneClaim &claim)
+void recordOwnerLeaving(ZoneClaim &claim)
 {
     claim.ownerLeft = !claim.held;
 }
 
-void noteFenced(ZoneClaim &claim, TimePoint now)
+void recordFenced(ZoneClaim &claim, TimePoint now)
 {
     claim.held = false;
-    claim.newestHeard = now; // of a claim whose number the next attempt brings
+    claim.newestHeard = now; // the holder of a newer claim; its number is learned from the next claim attempt
 }
 
-void noteStall(ZoneClaim &claim, TimePoint now)
+void recordStall(ZoneClaim &claim, TimePoint now)
 {
     if (claim.held) {
-        claim.doubted = now;
+        claim.suspectSince = now;
     } else {
-        claim.newestHeard = now; // what was said meanwhile is still to be read
+        claim.newestHeard = now; // notices that arrived during the stall have not been read yet
     }
 }
 
 bool shouldClaim(const ZoneClaim &claim, const ZoneView &view, TimePoint now)
 {
-    return !claim.held && now >= claim.retryFrom && now - claim.newestHeard >= claimWait(claim, view);
+    return !claim.held && now >= claim.retryFrom && now - claim.newestHeard >= claimDelay(claim, view);
 }
 
-bool noteClaimAnswer(ZoneClaim &claim, const ZoneClaimSettings &settings, bool gained, std::int64_t newest,
+bool applyClaimReply(ZoneClaim &claim, const ZoneClaimSettings &settings, bool gained, std::int64_t newest,
                      TimePoint now)
 {
     if (!gained) {
-        loseTo(claim, newest, now);
+        recordNewerClaim(claim, newest, now);
         return false;
     }
     const bool unopposed = claim.ownerLeft || claim.newest == 0;
@@ -84,13 +84,13 @@
     claim.ownerLeft = false;
     claim.confirmed = now;
     claim.gained = now;
-    claim.doubted = TimePoint {};
+    claim.suspectSince = TimePoint {};
     return true;
 }
 
-void noteClaimUnanswered(ZoneClaim &claim, TimePoint now)
+void recordClaimFailure(ZoneClaim &claim, TimePoint now)
 {
-    claim.retryFrom = now + claimRetry;
+    claim.retryFrom = now + claimRetryDelay;
 }
 
 bool shouldConfirm(const ZoneClaim &claim, const ZoneClaimSettings &settings, const ZoneView &view, TimePoint now)
@@ -98,29 +98,29 @@
     if (!claim.held) {
         return false;
     }
-    const bool doubted = claim.doubted.time_since_epoch().count() > 0;
+    const bool suspect = claim.suspectSince.time_since_epoch().count() > 0;
     const bool due = now >= claim.retryFrom && now - claim.confirmed >= confirmInterval;
-    return due && (doubted || isIsolated(view) || !settings.endpointsCheckFencing);
+    return due && (suspect || isIsolated(view) || !settings.endpointsCheckFencing);
 }
 
-bool noteNewest(ZoneClaim &claim, std::int64_t newest, TimePoint sentAt, TimePoint now)
+bool applyNewestClaim(ZoneClaim &claim, std::int64_t newest, TimePoint sentAt, TimePoint now)
 {
     if (newest > claim.fencing) {
-        return loseTo(claim, newest, now);
+        return recordNewerClaim(claim, newest, now);
     }
     claim.confirmed = sentAt;
-    if (sentAt >= claim.doubted) {
-        claim.doubted = TimePoint {};
+    if (sentAt >= claim.suspectSince) {
+        claim.suspectSince = TimePoint {};
     }
     return false;
 }
 
 bool shouldYield(const ZoneClaim &claim, const ZoneView &view, TimePoint now)
 {
-    return claim.held && view.larger && !isIsolated(view) && now - claim.gained >= leastTenure;
+    return claim.held && view.hasLargerVm && !isIsolated(view) && now - claim.gained >= minTenure;
 }
 
-void noteYielded(ZoneClaim &claim, TimePoint now)
+void recordYield(ZoneClaim &claim, TimePoint now)
 {
     claim.held = false;
     claim.newestHeard = now;
@@ -131,11 +131,11 @@
     if (!claim.held || now < claim.usableFrom) {
         return false;
     }
-    const bool doubted = claim.doubted.time_since_epoch().count() > 0;
+    const bool suspect = claim.suspectSince.time_since_epoch().count() > 0;
     if (settings.endpointsCheckFencing) {
-        return !doubted || now - claim.doubted >= longestDoubt;
+        return !suspect || now - claim.suspectSince >= maxSuspectTime;
     }
-    return !doubted && now - claim.confirmed < settings.lifetime;
+    return !suspect && now - claim.confirmed < settings.lifetime;
 }
 
 } // namespace lacewing
