--- a/lacewing/clock.cpp
+++ b/lacewing/clock.cpp
@@ -1,6 +1,6 @@
-// The time is the time since boot plus an offset. The steady clock stands still while the VM is suspended: whatever was
-// known before would count as recent afterwards. Pausing freezes one number; going on again adjusts the offset so that
-// the time continues from it.
+// The time is the time since boot plus an offset. The steady clock is not used because it stops while the VM is
+// suspended, so that data from before the suspension would count as recent afterwards. Resuming a paused clock adjusts
+// the offset so that the time continues from its paused value.
 
 #include "clock.h"
 
@@ -25,32 +25,32 @@
 
 TimePoint RuntimeClock::now() const
 {
-    const std::int64_t stopped = this->frozen.load();
-    if (stopped != runningMark) {
-        return TimePoint(Duration(stopped));
+    const std::int64_t pausedAt = this->pausedTime.load();
+    if (pausedAt != notPaused) {
+        return TimePoint(Duration(pausedAt));
     }
     return this->bootNow() + Duration(this->offset.load());
 }
 
 void RuntimeClock::pause()
 {
-    this->frozen.store(this->now().time_since_epoch().count());
+    this->pausedTime.store(this->now().time_since_epoch().count());
 }
 
 void RuntimeClock::resume()
 {
-    const std::int64_t stopped = this->frozen.load();
-    if (stopped == runningMark) {
+    const std::int64_t pausedAt = this->pausedTime.load();
+    if (pausedAt == notPaused) {
         return;
     }
-    this->offset.store(stopped - this->bootNow().time_since_epoch().count());
-    this->frozen.store(runningMark);
+    this->offset.store(pausedAt - this->bootNow().time_since_epoch().count());
+    this->pausedTime.store(notPaused);
 }
 
 void RuntimeClock::advance(Duration by)
 {
-    if (this->frozen.load() != runningMark) {
-        this->frozen.fetch_add(by.count());
+    if (this->pausedTime.load() != notPaused) {
+        this->pausedTime.fetch_add(by.count());
         return;
     }
     this->offset.fetch_add(by.count());
--- a/lacewing/clock.h
+++ b/lacewing/clock.h
@@ -1,5 +1,4 @@
-// The clock of the runtime. Everything that needs the time asks it, so that a test can pause time and
-// move it on by hand.
+// The clock of the runtime. All code reads the time from it, so that a test can pause and advance the time.
 //
 //   RuntimeClock clock;
 //   clock.pause();
@@ -20,20 +19,20 @@
 public:
     RuntimeClock();
 
-    /// @return the time, never going backwards; safe from any thread
+    /// @return the current time, monotonic; thread-safe
     TimePoint now() const;
 
-    /// Stops the time at its present value.
+    /// Stops the clock at its current time.
     void pause();
 
-    /// Lets a paused clock run on from where it stands.
+    /// Resumes a paused clock from the time at which it stands.
     void resume();
 
-    /// Moves the time on, paused or not.
-    /// @param by how far, not negative
+    /// Advances the time, whether the clock is paused or not.
+    /// @param by not negative
     void advance(Duration by);
 
-    /// Converts to the time of day, for what callers are shown.
+    /// Converts to wall-clock time, for output to callers.
     /// @param time a time of this clock
     /// @return seconds since 1970
     std::int64_t unixSeconds(TimePoint time) const;
@@ -42,10 +41,10 @@
     TimePoint bootNow() const;
 
     std::atomic<std::int64_t> offset {0}; ///< microseconds added to the time since boot
-    std::atomic<std::int64_t> frozen {runningMark}; ///< the time while paused, or runningMark
+    std::atomic<std::int64_t> pausedTime {notPaused}; ///< microseconds, or notPaused
     std::int64_t unixOffset = 0; ///< microseconds from this clock to 1970
 
-    static constexpr std::int64_t runningMark = -1;
+    static constexpr std::int64_t notPaused = -1;
 };
 
 } // namespace lacewing
--- a/lacewing/crashledger.cpp
+++ b/lacewing/crashledger.cpp
@@ -1,4 +1,4 @@
-// Crashes and suspects refer to each other by key and digest. Both are few: the scans below are over tens of entries.
+// Crashes and suspects refer to each other by key and digest. Linear scans suffice, as there are tens of entries.
 
 #include "crashledger.h"
 
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Crashes of one suspect that are kept: more than prove it.
-constexpr std::size_t mostChargedCrashes = 16;
+/// Crashes kept for each suspect, more than a proof needs.
+constexpr std::size_t maxChargedCrashes = 16;
 
 ChargedCrash *findCharge(Suspect &suspect, CrashKey key)
 {
@@ -22,7 +22,7 @@
     return found == suspect.crashes.end() ? nullptr : &*found;
 }
 
-/// For a ledger that may be changed or not.
+/// A template, as it serves const and non-const ledgers.
 template<typename Ledger>
 auto findCrash(Ledger &ledger, CrashKey key) -> decltype(ledger.crashes.data())
 {
@@ -31,7 +31,7 @@
     return found == ledger.crashes.end() ? nullptr : &*found;
 }
 
-/// A crash no longer counts against a request, unless that is proven.
+/// Clears a crash of a request, unless the request is proven.
 void clearCharge(CrashLedger &ledger, RequestDigest digest, CrashKey key)
 {
     const auto suspect = ledger.suspects.find(digest);
@@ -43,27 +43,27 @@
     }
 }
 
-/// Makes room for some hundred suspects at once: looking for the quietest at each new one would take too long when
-/// thousands come at a time.
-void forgetQuietest(CrashLedger &ledger)
+/// Evicts an eighth of the suspects at once, those without a proof and with the oldest activity first. A search for the
+/// oldest suspect at each insertion takes too long when thousands of suspects arrive at a time.
+void evictLeastRecent(CrashLedger &ledger)
 {
-    using Quietness = std::tuple<bool, TimePoint, RequestDigest>;
-    std::vector<Quietness> all;
+    using EvictionRank = std::tuple<bool, TimePoint, RequestDigest>;
+    std::vector<EvictionRank> all;
     all.reserve(ledger.suspects.size());
     for (const auto &[digest, suspect] : ledger.suspects) {
-        all.emplace_back(suspect.proven, suspect.seen, digest);
+        all.emplace_back(suspect.proven, suspect.lastSeen, digest);
     }
     const auto kept = all.begin() + static_cast<std::ptrdiff_t>(all.size() / 8);
     std::nth_element(all.begin(), kept, all.end());
     std::for_each(all.begin(), kept + 1,
-                  [&ledger](const Quietness &quiet) { ledger.suspects.erase(std::get<RequestDigest>(quiet)); });
+                  [&ledger](const EvictionRank &quiet) { ledger.suspects.erase(std::get<RequestDigest>(quiet)); });
 }
 
 void charge(CrashLedger &ledger, RequestDigest digest, const ChargedCrash &crash)
 {
     const auto found = ledger.suspects.find(digest);
-    if (found == ledger.suspects.end() && ledger.suspects.size() >= mostSuspects) {
-        forgetQuietest(ledger);
+    if (found == ledger.suspects.end() && ledger.suspects.size() >= maxSuspects) {
+        evictLeastRecent(ledger);
     }
     Suspect &suspect = ledger.suspects[digest];
     if (ChargedCrash *known = findCharge(suspect, crash.key)) {
@@ -71,11 +71,11 @@
         known->late = known->late && crash.late;
         return;
     }
-    if (suspect.crashes.size() >= mostChargedCrashes) {
+    if (suspect.crashes.size() >= maxChargedCrashes) {
         suspect.crashes.erase(suspect.crashes.begin());
     }
     suspect.crashes.push_back(crash);
-    suspect.seen = crash.told;
+    suspect.lastSeen = crash.firstReported;
 }
 
 bool contains(const EndpointCrash &crash, RequestDigest digest)
@@ -83,38 +83,39 @@
     return std::find(crash.inProgress.begin(), crash.inProgress.end(), digest) != crash.inProgress.end();
 }
 
-/// Whether an endpoint of the service ended about then without the request being in progress there.
-bool hasCommonReason(const CrashLedger &ledger, const EndpointCrash &crash, RequestDigest digest)
+/// @return whether another endpoint of the service crashed at about the same time while the request was not in progress
+/// there
+bool hasCommonCause(const CrashLedger &ledger, const EndpointCrash &crash, RequestDigest digest)
 {
     return std::any_of(ledger.crashes.begin(), ledger.crashes.end(), [&](const EndpointCrash &other) {
-        const Duration apart = std::chrono::abs(other.told - crash.told);
-        return other.service == crash.service && apart < commonReasonWindow && !contains(other, digest);
+        const Duration apart = std::chrono::abs(other.firstReported - crash.firstReported);
+        return other.service == crash.service && apart < commonCauseWindow && !contains(other, digest);
     });
 }
 
-/// The crashes that count: one for each group that may have a common reason.
+/// @return the crashes that count, one for each group of crashes that may have a common cause
 std::vector<CrashKey> countedCrashes(const CrashLedger &ledger, RequestDigest digest, const Suspect &suspect,
-                                     TimePoint now, bool alsoLate = false)
+                                     TimePoint now, bool includeLate = false)
 {
     std::vector<CrashKey> counted;
     TimePoint groupSince;
     bool inGroup = false;
     for (const ChargedCrash &charged : suspect.crashes) {
-        if (charged.cleared || (charged.late && !alsoLate) || now - charged.told < settlingTime) {
+        if (charged.cleared || (charged.late && !includeLate) || now - charged.firstReported < settlingTime) {
             continue;
         }
-        if (inGroup && charged.told - groupSince < commonReasonWindow) {
+        if (inGroup && charged.firstReported - groupSince < commonCauseWindow) {
             continue;
         }
         const EndpointCrash *crash = findCrash(ledger, charged.key);
-        inGroup = crash != nullptr && hasCommonReason(ledger, *crash, digest);
-        groupSince = charged.told;
+        inGroup = crash != nullptr && hasCommonCause(ledger, *crash, digest);
+        groupSince = charged.firstReported;
         counted.push_back(charged.key);
     }
     return counted;
 }
 
-/// Whether another request of one of its crashes has as many against it.
+/// @return whether another request of one of these crashes has at least as many crashes
 bool hasRival(const CrashLedger &ledger, RequestDigest digest, const std::vector<CrashKey> &counted, TimePoint now)
 {
     for (const CrashKey key : counted) {
@@ -135,8 +136,8 @@
     return false;
 }
 
-/// What is proven explains its crashes.
-void clearOthers(CrashLedger &ledger, RequestDigest proven)
+/// Clears the crashes of a proven request from all other requests.
+void clearExplainedCharges(CrashLedger &ledger, RequestDigest proven)
 {
     for (const ChargedCrash &charged : ledger.suspects.at(proven).crashes) {
         const EndpointCrash *crash = findCrash(ledger, charged.key);
@@ -149,23 +150,24 @@
     }
 }
 
-void forgetOld(CrashLedger &ledger, TimePoint now)
+void removeExpired(CrashLedger &ledger, TimePoint now)
 {
     std::erase_if(ledger.suspects, [now](const auto &entry) {
-        return now - entry.second.seen >= (entry.second.proven ? proofMemory : suspicionMemory);
+        return now - entry.second.lastSeen >= (entry.second.proven ? proofRetention : suspicionRetention);
     });
-    std::erase_if(ledger.crashes, [now](const EndpointCrash &crash) { return now - crash.told >= suspicionMemory; });
+    std::erase_if(ledger.crashes,
+                  [now](const EndpointCrash &crash) { return now - crash.firstReported >= suspicionRetention; });
 }
 
-/// Some of them, others at each turn.
-std::vector<RequestDigest> takeInTurn(std::vector<RequestDigest> all, std::uint64_t turn, std::size_t most)
+/// @return up to limit of the digests, different ones in each round
+std::vector<RequestDigest> selectRoundRobin(std::vector<RequestDigest> all, std::uint64_t round, std::size_t limit)
 {
-    if (all.size() <= most) {
+    if (all.size() <= limit) {
         return all;
     }
     std::sort(all.begin(), all.end());
-    std::rotate(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(turn * most % all.size()), all.end());
-    all.resize(most);
+    std::rotate(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(round * limit % all.size()), all.end());
+    all.resize(limit);
     return all;
 }
 
@@ -190,25 +192,25 @@
     return XXH3_64bits_withSeed(endpoint.data(), endpoint.size(), static_cast<std::uint64_t>(born));
 }
 
-void noteCrash(CrashLedger &ledger, CrashKey key, const ServiceName &service, const InProgress &inProgress,
-               TimePoint now)
+void recordCrash(CrashLedger &ledger, CrashKey key, const ServiceName &service, const InProgress &inProgress,
+                 TimePoint now)
 {
     EndpointCrash *crash = findCrash(ledger, key);
     if (crash == nullptr) {
-        if (ledger.crashes.size() >= mostCrashes) {
+        if (ledger.crashes.size() >= maxCrashes) {
             ledger.crashes.erase(ledger.crashes.begin());
         }
         crash = &ledger.crashes.emplace_back(EndpointCrash {key, service, now, {}});
     }
     const auto add = [&ledger, crash](RequestDigest digest, bool late) {
         const bool known = contains(*crash, digest);
-        if (!known && crash->inProgress.size() >= mostInProgress) {
+        if (!known && crash->inProgress.size() >= maxInProgressPerCrash) {
             return;
         }
         if (!known) {
             crash->inProgress.push_back(digest);
         }
-        charge(ledger, digest, {crash->key, crash->told, late, false});
+        charge(ledger, digest, {crash->key, crash->firstReported, late, false});
     };
     for (const RequestDigest digest : inProgress.early) {
         add(digest, false);
@@ -218,10 +220,10 @@
     }
 }
 
-std::optional<TimePoint> whenNoted(const CrashLedger &ledger, CrashKey key)
+std::optional<TimePoint> firstReportTime(const CrashLedger &ledger, CrashKey key)
 {
     const EndpointCrash *crash = findCrash(ledger, key);
-    return crash == nullptr ? std::nullopt : std::optional<TimePoint>(crash->told);
+    return crash == nullptr ? std::nullopt : std::optional<TimePoint>(crash->firstReported);
 }
 
 bool refuteCrash(CrashLedger &ledger, CrashKey key)
@@ -257,7 +259,7 @@
     return counted;
 }
 
-void noteStatement(CrashLedger &ledger, const SuspectStatement &statement, TimePoint now)
+void applyStatement(CrashLedger &ledger, const SuspectStatement &statement, TimePoint now)
 {
     for (const CrashKey key : statement.cleared) {
         charge(ledger, statement.digest, {key, now, false, true});
@@ -269,7 +271,7 @@
 
 std::vector<RequestDigest> reviewLedger(CrashLedger &ledger, TimePoint now)
 {
-    forgetOld(ledger, now);
+    removeExpired(ledger, now);
     std::vector<std::pair<std::size_t, RequestDigest>> candidates;
     for (const auto &[digest, suspect] : ledger.suspects) {
         if (suspect.proven || suspect.crashes.size() < crashesToProve) {
@@ -281,7 +283,8 @@
             candidates.emplace_back(all, digest);
         }
     }
-    std::sort(candidates.rbegin(), candidates.rend()); // who leads explains the crashes of those behind
+    std::sort(candidates.rbegin(),
+              candidates.rend()); // a request with more crashes explains those of the requests after it
     std::vector<RequestDigest> proven;
     for (const auto &[crashes, digest] : candidates) {
         if (crashes >= crashesToProveAlone) {
@@ -289,23 +292,24 @@
             proven.push_back(digest);
         }
     }
-    std::for_each(proven.begin(), proven.end(), [&ledger](RequestDigest digest) { clearOthers(ledger, digest); });
+    std::for_each(proven.begin(), proven.end(),
+                  [&ledger](RequestDigest digest) { clearExplainedCharges(ledger, digest); });
     for (const auto &[unused, digest] : candidates) {
         Suspect &suspect = ledger.suspects.at(digest);
         const std::vector<CrashKey> counted = countedCrashes(ledger, digest, suspect, now);
         if (!suspect.proven && counted.size() >= crashesToProve && !hasRival(ledger, digest, counted, now)) {
             suspect.proven = true;
-            clearOthers(ledger, digest);
+            clearExplainedCharges(ledger, digest);
             proven.push_back(digest);
         }
     }
     return proven;
 }
 
-bool hasUnsettled(const CrashLedger &ledger, TimePoint now)
+bool hasUnsettledCrash(const CrashLedger &ledger, TimePoint now)
 {
     return std::any_of(ledger.crashes.begin(), ledger.crashes.end(),
-                       [now](const EndpointCrash &crash) { return now - crash.told < settlingTime; });
+                       [now](const EndpointCrash &crash) { return now - crash.firstReported < settlingTime; });
 }
 
 Suspicion suspicionOf(const CrashLedger &ledger, RequestDigest digest)
@@ -326,12 +330,12 @@
 {
     const auto found = ledger.suspects.find(digest);
     if (found != ledger.suspects.end()) {
-        found->second.seen = now;
+        found->second.lastSeen = now;
     }
 }
 
-std::vector<SuspectStatement> statementsOf(const CrashLedger &ledger, std::uint64_t turn, std::size_t most,
-                                           TimePoint now)
+std::vector<SuspectStatement> selectStatements(const CrashLedger &ledger, std::uint64_t round, std::size_t limit,
+                                               TimePoint now)
 {
     std::vector<RequestDigest> proven;
     std::vector<RequestDigest> others;
@@ -340,12 +344,12 @@
             (suspect.proven ? proven : others).push_back(digest);
         }
     }
-    std::vector<RequestDigest> told = takeInTurn(std::move(proven), turn, (most + 1) / 2);
-    const std::vector<RequestDigest> rest = takeInTurn(std::move(others), turn, most - told.size());
-    told.insert(told.end(), rest.begin(), rest.end());
+    std::vector<RequestDigest> selected = selectRoundRobin(std::move(proven), round, (limit + 1) / 2);
+    const std::vector<RequestDigest> rest = selectRoundRobin(std::move(others), round, limit - selected.size());
+    selected.insert(selected.end(), rest.begin(), rest.end());
     std::vector<SuspectStatement> statements;
-    statements.reserve(told.size());
-    for (const RequestDigest digest : told) {
+    statements.reserve(selected.size());
+    for (const RequestDigest digest : selected) {
         statements.push_back(statementOf(ledger, digest, now));
     }
     return statements;
--- a/lacewing/crashledger.h
+++ b/lacewing/crashledger.h
@@ -1,24 +1,25 @@
-// Which requests crash the endpoints that run them.
+// Detects requests that crash the endpoints that run them.
 //
-// Load pattern: one request ends each engine that begins to run it, and with it the tens of requests that run there
-// beside it. Its caller, or a retry, brings it back at any VM, so that each VM sees a crash or two and none of them
-// three. Each VM keeps a ledger of the endpoints that ended and of the requests that were in progress there, its own
-// and those of the other VMs, and all ledgers come to the same verdict.
+// Load pattern: one request crashes every engine that starts to run it, and with the engine fail the tens of other
+// requests in progress there. The caller or a retry sends the request again through any VM, so each VM sees one or two
+// of the crashes and no VM sees three. Each VM therefore keeps a ledger of crashed endpoints and of the requests that
+// were in progress there, its own and those that other VMs report, and all ledgers reach the same result.
 //
-// A request is proven to crash endpoints by crashesToProve crashes under it and no success since. What keeps sound
-// requests out, each of which shares the endpoint of a crash by chance:
+// A request is proven to crash endpoints by crashesToProve crashes while it was in progress and no success since.
+// Requests that were in progress at a crashed endpoint by chance are protected by these rules:
 //
-// - A request that crashes endpoints does so as it begins. Crashes under runs that had been answering for longer than
-//   crashOnset count only towards crashesToProveAlone.
-// - A request that an endpoint has answered whole is cleared of all crashes before.
-// - Where another request of the same crash has as many crashes against it, none of the two is proven until one of
-//   them leads, or has crashesToProveAlone.
-// - What is proven explains its crashes: they no longer count against the others.
-// - Endpoints that end at the same moment for a common reason, as when a rack loses power, are one crash to a request
-//   that was not in progress at all of them.
-// - A crash counts only after settlingTime, when all VMs have said what they had in progress there.
+// - A request that crashes endpoints does so soon after its start. Crashes of endpoints that had been answering the
+//   request for longer than crashOnset count only towards crashesToProveAlone.
+// - A complete answer to a request clears all earlier crashes of that request.
+// - If another request of the same crash has at least as many crashes, neither is proven until one of them has more,
+//   or has crashesToProveAlone.
+// - Crashes of a proven request are explained by it and no longer count against other requests.
+// - Endpoints that crash at the same moment for a common cause, such as a rack that loses power, count as one crash
+//   for a request that was not in progress at all of them.
+// - A crash counts only after settlingTime, when all VMs have reported their requests in progress there.
 //
-// Memory is bounded by mostSuspects and mostCrashes; what has been quiet for longest is forgotten first.
+// Memory is bounded by maxSuspects and maxCrashes. Suspects without recent activity and the oldest crashes are evicted
+// first.
 
 #pragma once
 
@@ -34,53 +35,53 @@
 
 namespace lacewing {
 
-/// Names the end of one incarnation of an endpoint.
+/// Identifies the crash of one incarnation of an endpoint.
 using CrashKey = std::uint64_t;
 
-/// Crashes after which a request runs nowhere any more.
+/// A request with this many crashes is no longer sent to any endpoint.
 constexpr std::size_t crashesToProve = 3;
-/// A run that has been answering for this long is past its beginning.
+/// An endpoint that has been answering for this long is past the start of the request.
 constexpr Duration crashOnset = milliseconds(1000);
-/// Crashes that prove it whatever else was in progress, and however far it had come.
+/// Crashes that prove a request regardless of other requests in progress and of how long it had been answered.
 constexpr std::size_t crashesToProveAlone = 6;
-/// What VMs say of a crash is complete by then.
+/// All VMs have reported their requests of a crash after this time.
 constexpr Duration settlingTime = milliseconds(150);
-/// Endpoints that end within this time of each other may have a common reason.
-constexpr Duration commonReasonWindow = milliseconds(500);
-/// Suspicion without a further crash is dropped after this time.
-constexpr Duration suspicionMemory = std::chrono::minutes(2);
-/// A proven request that nobody sends is forgotten after this time.
-constexpr Duration proofMemory = std::chrono::minutes(10);
-constexpr std::size_t mostSuspects = 4096;
-constexpr std::size_t mostCrashes = 256;
-constexpr std::size_t mostInProgress = 256; ///< requests kept for each crash
-
-/// An endpoint that ended with requests in progress.
+/// Endpoints that crash within this time of each other may have a common cause.
+constexpr Duration commonCauseWindow = milliseconds(500);
+/// A suspect without a further crash is removed after this time.
+constexpr Duration suspicionRetention = std::chrono::minutes(2);
+/// A proven request that no caller sends is removed after this time.
+constexpr Duration proofRetention = std::chrono::minutes(10);
+constexpr std::size_t maxSuspects = 4096;
+constexpr std::size_t maxCrashes = 256;
+constexpr std::size_t maxInProgressPerCrash = 256;
+
+/// An endpoint that crashed with requests in progress.
 struct EndpointCrash {
     CrashKey key = 0;
     ServiceName service;
-    TimePoint told; ///< when this VM first heard of it
-    std::vector<RequestDigest> inProgress; ///< as far as VMs have said
+    TimePoint firstReported; ///< when this VM first saw the crash or received a report of it
+    std::vector<RequestDigest> inProgress; ///< as reported so far
 };
 
 /// A crash that counts against a request.
 struct ChargedCrash {
     CrashKey key = 0;
-    TimePoint told;
-    bool late = false; ///< it had been answering for longer than crashOnset
-    bool cleared = false; ///< counts no more; kept, so that late news do not bring it back
+    TimePoint firstReported;
+    bool late = false; ///< the request had been answered for longer than crashOnset
+    bool cleared = false; ///< no longer counts; kept so that a delayed update does not add the crash again
 };
 
 /// Requests that were in progress at an endpoint.
 struct InProgress {
-    std::vector<RequestDigest> early; ///< had just begun, or had not begun
-    std::vector<RequestDigest> late; ///< had been answering for longer than crashOnset
+    std::vector<RequestDigest> early; ///< had not been answered yet, or for at most crashOnset
+    std::vector<RequestDigest> late; ///< had been answered for longer than crashOnset
 };
 
-/// A request that was in progress at endpoints that ended.
+/// A request that was in progress at endpoints that crashed.
 struct Suspect {
     std::vector<ChargedCrash> crashes;
-    TimePoint seen; ///< last crash or, if it is proven, last refusal
+    TimePoint lastSeen; ///< last crash or, if the request is proven, last refusal
     bool proven = false;
 };
 
@@ -91,82 +92,82 @@
 
 enum class Suspicion {
     None,
-    Suspected, ///< crashes count against it, too few for a proof
+    Suspected, ///< crashes count against the request, too few for a proof
     Proven,
 };
 
-/// What a VM tells of a suspect so that others who missed the reports can make up for it.
+/// The state of a suspect, repeated to other VMs so that those that missed crash reports can catch up.
 struct SuspectStatement {
     RequestDigest digest = 0;
     std::vector<CrashKey> charged;
     std::vector<CrashKey> cleared;
 };
 
-/// @param endpoint that ended
-/// @param born start of the incarnation that ended, Unix milliseconds
-/// @return key of that crash, the same on all VMs
+/// @param endpoint that crashed
+/// @param born start of the incarnation that crashed, Unix milliseconds
+/// @return key of the crash, the same on all VMs
 CrashKey crashKeyOf(std::string_view endpoint, std::int64_t born);
 
-/// An endpoint ended, or a further VM says what it had in progress there.
+/// Records a crash, or adds the requests that a further VM reports for a known crash.
 /// @param ledger changed
 /// @param key of the crash
 /// @param service of the endpoint
-/// @param inProgress requests in progress there
-/// @param now time
-void noteCrash(CrashLedger &ledger, CrashKey key, const ServiceName &service, const InProgress &inProgress,
-               TimePoint now);
+/// @param inProgress requests in progress at the endpoint
+/// @param now current time
+void recordCrash(CrashLedger &ledger, CrashKey key, const ServiceName &service, const InProgress &inProgress,
+                 TimePoint now);
 
 /// @param ledger of this VM
 /// @param key of a crash
-/// @return when this VM first heard of it, if it did
-std::optional<TimePoint> whenNoted(const CrashLedger &ledger, CrashKey key);
+/// @return when this VM first saw or received the crash, or nothing if it is not known
+std::optional<TimePoint> firstReportTime(const CrashLedger &ledger, CrashKey key);
 
-/// The endpoint is alive: the crash was none.
+/// Removes a crash after the endpoint has turned out to be alive.
 /// @param ledger changed
 /// @param key of the crash
-/// @return whether it was noted
+/// @return whether the crash was recorded
 bool refuteCrash(CrashLedger &ledger, CrashKey key);
 
-/// An endpoint answered a request whole.
+/// Clears the crashes of a request after an endpoint has answered it completely.
 /// @param ledger changed
 /// @param digest of the request
-/// @return whether crashes counted against it: the other VMs are to know
+/// @return whether crashes counted against the request, so that the other VMs need the completion
 bool noteCompletion(CrashLedger &ledger, RequestDigest digest);
 
-/// Takes in what another VM says of a suspect.
+/// Merges another VM's state of a suspect into the ledger.
 /// @param ledger changed
 /// @param statement of the other VM
-/// @param now time
-void noteStatement(CrashLedger &ledger, const SuspectStatement &statement, TimePoint now);
+/// @param now current time
+void applyStatement(CrashLedger &ledger, const SuspectStatement &statement, TimePoint now);
 
-/// Draws the conclusions from what has settled and forgets what is old.
+/// Removes expired entries, then evaluates the crashes that have settled.
 /// @param ledger changed
-/// @param now time
-/// @return requests that are proven now and were not before
+/// @param now current time
+/// @return requests that are newly proven
 std::vector<RequestDigest> reviewLedger(CrashLedger &ledger, TimePoint now);
 
 /// @param ledger of this VM
-/// @param now time
+/// @param now current time
 /// @return whether a crash is too recent to count yet
-bool hasUnsettled(const CrashLedger &ledger, TimePoint now);
+bool hasUnsettledCrash(const CrashLedger &ledger, TimePoint now);
 
 /// @param ledger of this VM
 /// @param digest of a request
-/// @return what is held against it
+/// @return whether the request is suspected or proven to crash endpoints
 Suspicion suspicionOf(const CrashLedger &ledger, RequestDigest digest);
 
-/// A request was refused since it is proven to crash endpoints: it is remembered for longer.
+/// Extends the retention of a proven request that was refused.
 /// @param ledger changed
 /// @param digest of the request
-/// @param now time
+/// @param now current time
 void noteRefusal(CrashLedger &ledger, RequestDigest digest, TimePoint now);
 
 /// @param ledger of this VM
-/// @param turn a number that rises with each call
-/// @param most statements wanted
-/// @param now time
-/// @return suspects with two crashes or more, others at each turn; those that are proven come first
-std::vector<SuspectStatement> statementsOf(const CrashLedger &ledger, std::uint64_t turn, std::size_t most,
-                                           TimePoint now);
+/// @param round a number that increases with each call
+/// @param limit maximum number of statements
+/// @param now current time
+/// @return suspects with two crashes or more, different ones in each round; proven requests come first
+std::vector<SuspectStatement> selectStatements(const CrashLedger &ledger, std::uint64_t round, std::size_t limit,
+                                               TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/crashwatch.cpp
+++ b/lacewing/crashwatch.cpp
@@ -1,6 +1,6 @@
-// After a break the endpoint's port is tried once. A port that refuses is that of a process that has ended, one that
-// takes the connection that of a process that runs; where neither comes, the endpoint may be behind a cut, and the
-// break is kept until the list shows its next incarnation or another VM tells of its end.
+// After a connection broke, the endpoint's port is probed once. A refused connection means that the process has ended,
+// an accepted one that it runs. If neither happens, the endpoint may be unreachable because of a network partition, and
+// the unconfirmed crash is kept until the platform's list shows the next incarnation or another VM reports the crash.
 
 #include "crashwatch.h"
 
@@ -16,26 +16,26 @@
 
 namespace {
 
-/// A process that ends closes its connections and its port within some milliseconds, in any order.
+/// A process that ends closes its connections and its port within a few milliseconds, in any order.
 constexpr Duration probeDelay = milliseconds(5);
 constexpr Duration probeTimeout = milliseconds(400);
-/// The next incarnation of an endpoint that crashed is listed by then.
-constexpr Duration brokenMemory = milliseconds(20000);
-constexpr std::size_t mostBroken = 512; ///< incarnations with requests that broke
-/// What breaks within this time is told in one datagram.
+/// The next incarnation of a crashed endpoint is listed within this time.
+constexpr Duration unconfirmedRetention = milliseconds(20000);
+constexpr std::size_t maxUnconfirmed = 512; ///< incarnations with broken requests
+/// Requests that break within this time are reported in one datagram.
 constexpr Duration flushDelay = milliseconds(20);
-/// Requests that end whole after many endpoints have ended are many, and not urgent.
+/// Completions are numerous after many endpoints crash, and not urgent, so they are batched for longer.
 constexpr Duration completionDelay = milliseconds(200);
-/// Digests that wait to be told: a VM has hundreds of requests in progress at most.
-constexpr std::size_t mostUntold = 512;
-/// Digests in one datagram: it stays below the size that networks split.
-constexpr std::size_t mostInDatagram = 96;
-/// Names of an endpoint and its service take about as much room as this many digests.
-constexpr std::size_t namesInDigests = 5;
-/// Suspects in one datagram that is told again and again.
-constexpr std::size_t mostStatements = 4;
-/// Answers that were on their way when the endpoint crashed have arrived by then.
-constexpr Duration answersInFlight = milliseconds(50);
+/// Bound of the digests that wait to be sent. A VM has at most hundreds of requests in progress.
+constexpr std::size_t maxUnsent = 512;
+/// Keeps a datagram below the size at which networks fragment it.
+constexpr std::size_t maxDigestsPerDatagram = 96;
+/// The names of an endpoint and its service take about as much space as this many digests.
+constexpr std::size_t namesSizeInDigests = 5;
+/// Suspects in one periodic update, which is one datagram.
+constexpr std::size_t maxStatementsPerUpdate = 4;
+/// Answers in flight when the endpoint crashed have arrived after this time.
+constexpr Duration answerInFlightTime = milliseconds(50);
 
 std::int64_t toWire(std::uint64_t value)
 {
@@ -64,36 +64,36 @@
 {
 }
 
-void CrashWatch::noteBroken(const EndpointRun &run, RequestDigest digest, bool late)
+void CrashWatch::noteBroken(const EndpointIncarnation &incarnation, RequestDigest digest, bool late)
 {
-    const CrashKey key = crashKeyOf(run.endpoint, run.born);
-    if (whenNoted(this->ledger, key)) {
+    const CrashKey key = crashKeyOf(incarnation.endpoint, incarnation.born);
+    if (firstReportTime(this->ledger, key)) {
         InProgress one;
         (late ? one.late : one.early).push_back(digest);
-        this->tell(run, one);
+        this->reportCrash(incarnation, one);
         return;
     }
-    this->forgetOld();
-    if (this->broken.size() >= mostBroken && !this->broken.contains(key)) {
+    this->removeExpired();
+    if (this->unconfirmed.size() >= maxUnconfirmed && !this->unconfirmed.contains(key)) {
         return;
     }
-    Broken &at = this->broken[key];
-    at.run = run;
-    at.since = this->clock.now();
-    (late ? at.requests.late : at.requests.early).push_back(digest);
-    if (!at.probing) {
+    UnconfirmedCrash &crash = this->unconfirmed[key];
+    crash.incarnation = incarnation;
+    crash.since = this->clock.now();
+    (late ? crash.requests.late : crash.requests.early).push_back(digest);
+    if (!crash.probing) {
         this->probe(key);
     }
 }
 
 void CrashWatch::probe(CrashKey key)
 {
-    Broken &at = this->broken.at(key);
-    const auto target = parseAddress(at.run.address);
+    UnconfirmedCrash &crash = this->unconfirmed.at(key);
+    const auto target = parseAddress(crash.incarnation.address);
     if (!target) {
         return;
     }
-    at.probing = true;
+    crash.probing = true;
     const auto timer = std::make_shared<asio::steady_timer>(this->context, probeDelay);
     const auto socket = std::make_shared<Tcp::socket>(this->context);
     timer->async_wait([this, key, timer, socket, target](const NetError &stopped) {
@@ -106,7 +106,7 @@
         });
         timer->expires_after(probeTimeout);
         timer->async_wait([socket](const NetError &answered) {
-            NetError ignored; // the connection is given up
+            NetError ignored; // the connection is abandoned
             if (!answered) {
                 socket->close(ignored);
             }
@@ -116,43 +116,43 @@
 
 void CrashWatch::onProbed(CrashKey key, const NetError &error)
 {
-    const auto found = this->broken.find(key);
-    if (found == this->broken.end()) {
+    const auto found = this->unconfirmed.find(key);
+    if (found == this->unconfirmed.end()) {
         return;
     }
     found->second.probing = false;
     if (error == asio::error::connection_refused) {
         this->confirm(key, "refused");
     } else if (!error) {
-        this->broken.erase(found); // it runs: the connection broke for another reason
+        this->unconfirmed.erase(found); // the process runs: the connection broke for another reason
     }
 }
 
 void CrashWatch::confirm(CrashKey key, std::string_view evidence)
 {
-    const auto found = this->broken.find(key);
-    if (found == this->broken.end()) {
+    const auto found = this->unconfirmed.find(key);
+    if (found == this->unconfirmed.end()) {
         return;
     }
-    const Broken at = std::move(found->second);
-    this->broken.erase(found);
+    const UnconfirmedCrash crash = std::move(found->second);
+    this->unconfirmed.erase(found);
     logEvent("endpoint_crashed",
-             {{"endpoint", at.run.endpoint},
-              {"born", std::to_string(at.run.born)},
+             {{"endpoint", crash.incarnation.endpoint},
+              {"born", std::to_string(crash.incarnation.born)},
               {"evidence", std::string(evidence)},
-              {"in_progress", std::to_string(at.requests.early.size() + at.requests.late.size())}});
-    this->tell(at.run, at.requests);
+              {"in_progress", std::to_string(crash.requests.early.size() + crash.requests.late.size())}});
+    this->reportCrash(crash.incarnation, crash.requests);
 }
 
-void CrashWatch::tell(const EndpointRun &run, const InProgress &requests)
+void CrashWatch::reportCrash(const EndpointIncarnation &incarnation, const InProgress &requests)
 {
-    const CrashKey key = crashKeyOf(run.endpoint, run.born);
-    this->counts.crashes += whenNoted(this->ledger, key) ? 0 : 1;
-    noteCrash(this->ledger, key, run.service, requests, this->clock.now());
-    this->reviewSoon();
-    this->queueReport(run, requests.early, false);
-    this->queueReport(run, requests.late, true);
-    if (this->flushPending || this->untold.empty()) {
+    const CrashKey key = crashKeyOf(incarnation.endpoint, incarnation.born);
+    this->counts.crashes += firstReportTime(this->ledger, key) ? 0 : 1;
+    recordCrash(this->ledger, key, incarnation.service, requests, this->clock.now());
+    this->scheduleReview();
+    this->queueReport(incarnation, requests.early, false);
+    this->queueReport(incarnation, requests.late, true);
+    if (this->flushPending || this->unsentReports.empty()) {
         return;
     }
     this->flushPending = true;
@@ -160,53 +160,54 @@
     this->flushTimer.async_wait([this](const NetError &error) {
         this->flushPending = false;
         if (!error) {
-            runGuarded("crash_news", [this] { this->flush(); });
+            runGuarded("crash_news", [this] { this->flushReports(); });
         }
     });
 }
 
-void CrashWatch::queueReport(const EndpointRun &run, const std::vector<RequestDigest> &digests, bool late)
+void CrashWatch::queueReport(const EndpointIncarnation &incarnation, const std::vector<RequestDigest> &digests,
+                             bool late)
 {
-    const std::size_t room = mostUntold - std::min(mostUntold, this->untoldDigests);
-    const std::size_t told = std::min(room, digests.size());
-    this->counts.untold += static_cast<std::int64_t>(digests.size() - told);
-    this->untoldDigests += told;
-    for (std::size_t first = 0; first < told; first += mostInDatagram) {
+    const std::size_t room = maxUnsent - std::min(maxUnsent, this->unsentDigests);
+    const std::size_t queued = std::min(room, digests.size());
+    this->counts.untold += static_cast<std::int64_t>(digests.size() - queued);
+    this->unsentDigests += queued;
+    for (std::size_t first = 0; first < queued; first += maxDigestsPerDatagram) {
         wire::CrashReport report;
-        report.endpoint = run.endpoint;
-        report.born = run.born;
-        report.serviceName = run.service;
+        report.endpoint = incarnation.endpoint;
+        report.born = incarnation.born;
+        report.serviceName = incarnation.service;
         const auto begin = digests.begin() + static_cast<std::ptrdiff_t>(first);
-        const auto end = begin + static_cast<std::ptrdiff_t>(std::min(mostInDatagram, told - first));
+        const auto end = begin + static_cast<std::ptrdiff_t>(std::min(maxDigestsPerDatagram, queued - first));
         (late ? report.lateDigests : report.digests).assign(begin, end);
-        this->untold.push_back(std::move(report));
+        this->unsentReports.push_back(std::move(report));
     }
 }
 
-void CrashWatch::flush()
+void CrashWatch::flushReports()
 {
-    const std::vector<wire::CrashReport> reports = std::exchange(this->untold, {});
-    this->untoldDigests = 0;
-    wire::CrashNews news;
+    const std::vector<wire::CrashReport> reports = std::exchange(this->unsentReports, {});
+    this->unsentDigests = 0;
+    wire::CrashNews update;
     std::size_t size = 0;
     for (const wire::CrashReport &report : reports) {
         const std::size_t digests = report.digests.size() + report.lateDigests.size();
-        if (size > 0 && size + digests > mostInDatagram) {
-            this->publish(std::exchange(news, {}));
+        if (size > 0 && size + digests > maxDigestsPerDatagram) {
+            this->broadcast(std::exchange(update, {}));
             size = 0;
         }
-        news.crashes.push_back(report);
-        size += digests + namesInDigests;
+        update.crashes.push_back(report);
+        size += digests + namesSizeInDigests;
     }
-    if (!news.crashes.empty()) {
-        this->publish(news);
+    if (!update.crashes.empty()) {
+        this->broadcast(update);
     }
 }
 
-void CrashWatch::publish(const wire::CrashNews &news) const
+void CrashWatch::broadcast(const wire::CrashNews &update) const
 {
     if (this->onNews) {
-        this->onNews(news);
+        this->onNews(update);
     }
 }
 
@@ -215,12 +216,12 @@
     if (!lacewing::noteCompletion(this->ledger, digest)) {
         return;
     }
-    if (this->untoldCompletions.size() >= mostUntold) {
+    if (this->unsentCompletions.size() >= maxUnsent) {
         this->counts.untold += 1;
         return;
     }
-    this->untoldCompletions.push_back(toWire(digest));
-    if (this->untoldCompletions.size() > 1) {
+    this->unsentCompletions.push_back(toWire(digest));
+    if (this->unsentCompletions.size() > 1) {
         return;
     }
     this->completionTimer.expires_after(completionDelay);
@@ -233,13 +234,13 @@
 
 void CrashWatch::flushCompletions()
 {
-    const std::vector<std::int64_t> digests = std::exchange(this->untoldCompletions, {});
-    for (std::size_t first = 0; first < digests.size(); first += mostInDatagram) {
-        wire::CrashNews news;
+    const std::vector<std::int64_t> digests = std::exchange(this->unsentCompletions, {});
+    for (std::size_t first = 0; first < digests.size(); first += maxDigestsPerDatagram) {
+        wire::CrashNews update;
         const auto begin = digests.begin() + static_cast<std::ptrdiff_t>(first);
-        news.completed.assign(begin,
-                              begin + static_cast<std::ptrdiff_t>(std::min(mostInDatagram, digests.size() - first)));
-        this->publish(news);
+        update.completed.assign(
+            begin, begin + static_cast<std::ptrdiff_t>(std::min(maxDigestsPerDatagram, digests.size() - first)));
+        this->broadcast(update);
     }
 }
 
@@ -249,15 +250,15 @@
         return;
     }
     const CrashKey key = crashKeyOf(endpoint, born);
-    const auto told = whenNoted(this->ledger, key);
+    const auto reportedAt = firstReportTime(this->ledger, key);
     // A request that was sent after the crash may have been answered by the endpoint's next incarnation.
-    if (!told || sentAt >= *told || this->clock.now() - *told < answersInFlight) {
+    if (!reportedAt || sentAt >= *reportedAt || this->clock.now() - *reportedAt < answerInFlightTime) {
         return;
     }
     this->refute(key);
-    wire::CrashNews news;
-    news.refuted.push_back(toWire(key));
-    this->publish(news);
+    wire::CrashNews update;
+    update.refuted.push_back(toWire(key));
+    this->broadcast(update);
 }
 
 void CrashWatch::refute(CrashKey key)
@@ -271,9 +272,9 @@
 void CrashWatch::noteListed(const EndpointEntry &entry)
 {
     std::vector<CrashKey> ended;
-    for (const auto &[key, at] : this->broken) {
-        const bool samePlace = at.run.endpoint == entry.id || at.run.address == entry.address;
-        if (samePlace && entry.born > at.run.born) {
+    for (const auto &[key, crash] : this->unconfirmed) {
+        const bool sameEndpoint = crash.incarnation.endpoint == entry.id || crash.incarnation.address == entry.address;
+        if (sameEndpoint && entry.born > crash.incarnation.born) {
             ended.push_back(key);
         }
     }
@@ -292,45 +293,46 @@
     return lacewing::suspicionOf(this->ledger, digest);
 }
 
-void CrashWatch::take(const wire::CrashNews &news)
+void CrashWatch::take(const wire::CrashNews &update)
 {
     const TimePoint now = this->clock.now();
-    for (const wire::CrashReport &report : news.crashes) {
+    for (const wire::CrashReport &report : update.crashes) {
         const CrashKey key = crashKeyOf(report.endpoint, report.born);
-        this->counts.crashes += whenNoted(this->ledger, key) ? 0 : 1;
+        this->counts.crashes += firstReportTime(this->ledger, key) ? 0 : 1;
         const InProgress requests {fromWire(report.digests), fromWire(report.lateDigests)};
-        noteCrash(this->ledger, key, report.serviceName, requests, now);
+        recordCrash(this->ledger, key, report.serviceName, requests, now);
         this->confirm(key, "told");
     }
-    for (const std::int64_t digest : news.completed) {
+    for (const std::int64_t digest : update.completed) {
         lacewing::noteCompletion(this->ledger, fromWire(digest));
     }
-    for (const std::int64_t key : news.refuted) {
+    for (const std::int64_t key : update.refuted) {
         this->refute(fromWire(key));
     }
-    for (const wire::SuspectStatement &told : news.suspects) {
-        noteStatement(this->ledger, {fromWire(told.digest), fromWire(told.charged), fromWire(told.cleared)}, now);
+    for (const wire::SuspectStatement &suspect : update.suspects) {
+        applyStatement(this->ledger, {fromWire(suspect.digest), fromWire(suspect.charged), fromWire(suspect.cleared)},
+                       now);
     }
-    if (!news.crashes.empty() || !news.suspects.empty()) {
-        this->reviewSoon();
+    if (!update.crashes.empty() || !update.suspects.empty()) {
+        this->scheduleReview();
     }
 }
 
 wire::CrashNews CrashWatch::repeatedNews()
 {
-    wire::CrashNews news;
+    wire::CrashNews update;
     for (const SuspectStatement &statement :
-         statementsOf(this->ledger, this->turn++, mostStatements, this->clock.now())) {
-        wire::SuspectStatement told;
-        told.digest = toWire(statement.digest);
-        told.charged = toWire(statement.charged);
-        told.cleared = toWire(statement.cleared);
-        news.suspects.push_back(std::move(told));
+         selectStatements(this->ledger, this->round++, maxStatementsPerUpdate, this->clock.now())) {
+        wire::SuspectStatement suspect;
+        suspect.digest = toWire(statement.digest);
+        suspect.charged = toWire(statement.charged);
+        suspect.cleared = toWire(statement.cleared);
+        update.suspects.push_back(std::move(suspect));
     }
-    return news;
+    return update;
 }
 
-void CrashWatch::reviewSoon()
+void CrashWatch::scheduleReview()
 {
     if (this->reviewPending) {
         return;
@@ -353,18 +355,19 @@
         this->counts.proven += 1;
         logEvent("request_proven_to_crash", {{"digest", describe(digest)}});
     }
-    if (hasUnsettled(this->ledger, now)) {
-        this->reviewSoon();
+    if (hasUnsettledCrash(this->ledger, now)) {
+        this->scheduleReview();
     }
     if (!proven.empty() && this->onProven) {
         this->onProven();
     }
 }
 
-void CrashWatch::forgetOld()
+void CrashWatch::removeExpired()
 {
     const TimePoint now = this->clock.now();
-    std::erase_if(this->broken, [now](const auto &entry) { return now - entry.second.since >= brokenMemory; });
+    std::erase_if(this->unconfirmed,
+                  [now](const auto &entry) { return now - entry.second.since >= unconfirmedRetention; });
 }
 
 } // namespace lacewing
--- a/lacewing/crashwatch.h
+++ b/lacewing/crashwatch.h
@@ -1,13 +1,13 @@
-// Finds out which endpoints have ended under requests of this VM, and exchanges that with the other VMs.
+// Detects endpoints that crash while requests of this VM are in progress, and exchanges the crashes with other VMs.
 //
 //   CrashWatch watch(context, clock);
-//   watch.noteBroken(run, digest, late);  // a connection broke while a request was in progress
-//   watch.suspicionOf(digest);            // before a request is sent
-//   watch.take(news);                     // of another VM
+//   watch.noteBroken(incarnation, digest, late);  // a connection broke while a request was in progress
+//   watch.suspicionOf(digest);                    // before a request is sent
+//   watch.take(update);                           // from another VM
 //
-// A connection that breaks is no crash: links are cut, answers garbled, idle connections reset. A crash is shown by the
-// endpoint's port, which refuses connections, by the next incarnation on the platform's list, or by another VM that
-// has seen one of these. An endpoint that answers a request of before is alive, and its crash is taken back.
+// A broken connection alone is no evidence of a crash: the network may be partitioned, an answer malformed or an idle
+// connection reset. Evidence is a refused connection to the endpoint's port, a newer incarnation in the platform's
+// list, or a report of another VM. A crash is refuted if the endpoint answers a request that was sent before it.
 
 #pragma once
 
@@ -28,8 +28,8 @@
 class RuntimeClock;
 struct EndpointEntry;
 
-/// The incarnation of an endpoint at which a request is in progress.
-struct EndpointRun {
+/// The incarnation of an endpoint to which a request was sent.
+struct EndpointIncarnation {
     EndpointName endpoint;
     std::int64_t born = 0; ///< start of the incarnation, Unix milliseconds
     ServiceName service;
@@ -39,9 +39,9 @@
 /// Counts since the start, for the metrics page.
 struct CrashCounters {
     std::int64_t crashes = 0; ///< of endpoints, seen by any VM
-    std::int64_t refuted = 0; ///< of these, taken back
+    std::int64_t refuted = 0; ///< of these crashes
     std::int64_t proven = 0; ///< requests that crash endpoints
-    std::int64_t untold = 0; ///< digests left out of what is told, since too many crashed at once
+    std::int64_t untold = 0; ///< digests omitted from updates because too many were pending
 };
 
 class CrashWatch
@@ -51,47 +51,47 @@
     /// @param runtimeClock source of all times
     CrashWatch(asio::io_context &ioContext, RuntimeClock &runtimeClock);
 
-    /// A connection broke while a request was in progress.
-    /// @param run where
+    /// Records a connection that broke while a request was in progress.
+    /// @param incarnation to which the request was sent
     /// @param digest of the request
-    /// @param late whether it had been answering for longer than crashOnset
-    void noteBroken(const EndpointRun &run, RequestDigest digest, bool late);
-    /// An endpoint answered a request whole.
+    /// @param late whether the request had been answered for longer than crashOnset
+    void noteBroken(const EndpointIncarnation &incarnation, RequestDigest digest, bool late);
+    /// Records that an endpoint answered a request completely.
     /// @param digest of the request
     void noteCompletion(RequestDigest digest);
-    /// An endpoint began to answer a request.
+    /// Records that an endpoint started to answer a request.
     /// @param endpoint its id
     /// @param born start of its incarnation
     /// @param sentAt when the request was sent
     void noteAnswer(const EndpointName &endpoint, std::int64_t born, TimePoint sentAt);
-    /// An entry of the platform's list was read.
+    /// Records an entry of the platform's list, which may show a newer incarnation.
     /// @param entry as listed
     void noteListed(const EndpointEntry &entry);
-    /// A request was refused since it is proven.
+    /// Records that a request was refused because it is proven to crash endpoints.
     /// @param digest of the request
     void noteRefusal(RequestDigest digest);
 
     /// @param digest of a request
-    /// @return what is held against it
+    /// @return whether the request is suspected or proven to crash endpoints
     Suspicion suspicionOf(RequestDigest digest) const;
 
-    /// @param news of another VM
-    void take(const wire::CrashNews &news);
-    /// @return what is told again and again, so that VMs that missed it, or have started since, come to know;
-    /// empty if there is nothing to tell
+    /// @param update of another VM
+    void take(const wire::CrashNews &update);
+    /// @return suspects to repeat to other VMs, for those that missed earlier updates or have started since; empty if
+    /// there are none
     wire::CrashNews repeatedNews();
 
     CrashCounters counts;
 
-    /// Called with what the other VMs are to know.
+    /// Called with each update for the other VMs.
     std::function<void(const wire::CrashNews &)> onNews;
-    /// Called when requests are found to crash endpoints.
+    /// Called when requests are newly proven to crash endpoints.
     std::function<void()> onProven;
 
 private:
-    /// Requests that broke at an incarnation of which it is not known yet whether it ended.
-    struct Broken {
-        EndpointRun run;
+    /// An incarnation with broken requests that may have crashed.
+    struct UnconfirmedCrash {
+        EndpointIncarnation incarnation;
         InProgress requests;
         TimePoint since;
         bool probing = false;
@@ -100,29 +100,29 @@
     void probe(CrashKey key);
     void onProbed(CrashKey key, const NetError &error);
     void confirm(CrashKey key, std::string_view evidence);
-    void tell(const EndpointRun &run, const InProgress &requests);
-    void publish(const wire::CrashNews &news) const;
-    void queueReport(const EndpointRun &run, const std::vector<RequestDigest> &digests, bool late);
-    void flush();
+    void reportCrash(const EndpointIncarnation &incarnation, const InProgress &requests);
+    void broadcast(const wire::CrashNews &update) const;
+    void queueReport(const EndpointIncarnation &incarnation, const std::vector<RequestDigest> &digests, bool late);
+    void flushReports();
     void flushCompletions();
-    void reviewSoon();
+    void scheduleReview();
     void review();
     void refute(CrashKey key);
-    void forgetOld();
+    void removeExpired();
 
     asio::io_context &context;
     RuntimeClock &clock;
     CrashLedger ledger;
-    std::map<CrashKey, Broken> broken;
-    std::vector<wire::CrashReport> untold; ///< of this VM's own requests
-    std::size_t untoldDigests = 0;
-    std::vector<std::int64_t> untoldCompletions; ///< digests of requests
+    std::map<CrashKey, UnconfirmedCrash> unconfirmed;
+    std::vector<wire::CrashReport> unsentReports; ///< of this VM's own requests
+    std::size_t unsentDigests = 0;
+    std::vector<std::int64_t> unsentCompletions; ///< digests of requests
     asio::steady_timer flushTimer;
     asio::steady_timer completionTimer;
     asio::steady_timer reviewTimer;
     bool flushPending = false;
     bool reviewPending = false;
-    std::uint64_t turn = 0; ///< of what is told again
+    std::uint64_t round = 0; ///< of periodic updates
 };
 
 } // namespace lacewing
--- a/lacewing/eventlog.cpp
+++ b/lacewing/eventlog.cpp
@@ -1,5 +1,5 @@
-// A line is at most a few hundred bytes, so a write to a pipe takes it whole or not at all. The time of day is
-// shown for people; nothing is decided by it.
+// A line is at most a few hundred bytes, so a write to a pipe is atomic. The wall-clock time is only for readers of the
+// log; the rate limit uses the steady clock.
 
 #include "eventlog.h"
 
@@ -89,7 +89,7 @@
         budget = {second, 0, 0};
     }
     budget.lines += 1;
-    if (budget.lines > mostLinesPerSecond) {
+    if (budget.lines > maxLinesPerSecond) {
         budget.dropped += 1;
         return;
     }
--- a/lacewing/eventlog.h
+++ b/lacewing/eventlog.h
@@ -1,9 +1,9 @@
-// The log of decisions: one key=value line for each, on standard output, bounded and never blocking.
+// Structured event log: one key=value line for each event on standard output, rate-limited and non-blocking.
 //
 //   logEvent("request_refused", {{"id", id}, {"reason", "queue_full"}});
 //
-// Each event may write mostLinesPerSecond lines a second; the rest is counted and the count is written once
-// lines may be written again. If standard output does not take a line at once, the line is dropped and counted.
+// Each event name may write maxLinesPerSecond lines per second. Further lines are dropped, and their number is added to
+// the event's next line. A line that standard output does not accept at once is dropped and counted too.
 
 #pragma once
 
@@ -16,20 +16,19 @@
 
 namespace lacewing {
 
-/// Lines a second of one event. A VM of the first deployments takes 15 requests a second; 100 keeps every
-/// decision there and bounds an overloaded VM to a few per cent of its processor time.
-constexpr int mostLinesPerSecond = 100;
+/// Rate limit of one event name. A VM of the first deployments receives 15 requests per second; 100 lines keep every
+/// decision at that load and limit logging to a few percent of the CPU time of an overloaded VM.
+constexpr int maxLinesPerSecond = 100;
 
-/// Makes standard output non-blocking; call once at the start.
+/// Makes standard output non-blocking; call once at startup.
 void startEventLog();
 
-/// @param duration any
-/// @return whole milliseconds, as fields hold them
+/// @return whole milliseconds as text, for the value of a log field
 std::string inMilliseconds(Duration duration);
 
 /// Writes one line.
-/// @param event what happened, lower case with underscores
-/// @param fields further pairs, in order
+/// @param event name of the event, lower case with underscores
+/// @param fields key=value pairs, in order
 void logEvent(std::string_view event, std::initializer_list<LogField> fields);
 
 } // namespace lacewing
--- a/lacewing/gateway.cpp
+++ b/lacewing/gateway.cpp
@@ -1,5 +1,5 @@
-// Requests that wait for weights are few (a load takes a quarter of a second), so all of them look again
-// whenever something is learned of the endpoints.
+// Few requests wait for weights (a load takes a quarter of a second), so the placement of all of them is retried
+// whenever the state of an endpoint changes.
 
 #include "gateway.h"
 
@@ -24,10 +24,10 @@
       acceptor(ioContext),
       pool(ioContext),
       crashes(ioContext, runtimeClock),
-      roomTimer(ioContext),
+      capacityTimer(ioContext),
       random(std::random_device {}())
 {
-    this->crashes.onProven = [this] { this->endProven(); };
+    this->crashes.onProven = [this] { this->endProvenRequests(); };
     this->budgetSettings.retryFloor = 0;
     this->setRetryLimits(this->settings.retryShare, this->settings.retryBurst);
 }
@@ -101,13 +101,13 @@
 void Gateway::onRequest(const std::shared_ptr<CallerConnection> &caller, HttpRequestHead head, std::string body)
 {
     this->counts.requests += 1;
-    const bool taken = runGuarded("request", [&] {
+    const bool started = runGuarded("request", [&] {
         const auto relay = std::make_shared<Relay>(*this, caller, std::move(head), std::move(body));
         this->callers[caller] = relay;
         this->relays.insert(relay);
         relay->start();
     });
-    if (!taken) {
+    if (!started) {
         caller->abort();
     }
 }
@@ -152,7 +152,7 @@
         learnReading(queue, prompt.tokens, Duration {prompt.readMicroseconds});
     }
     if (removePrompt(queue, prompt.ticket, this->now())) {
-        // Later: the request that left the queue may be on its way to another endpoint at this moment.
+        // Deferred, because the request that left the queue may be moving to another endpoint in this call.
         asio::post(this->context, [this, id = prompt.endpoint] { this->wakePaced(id); });
     }
 }
@@ -184,7 +184,7 @@
     }
 }
 
-void Gateway::endProven()
+void Gateway::endProvenRequests()
 {
     const std::vector<std::shared_ptr<Relay>> open(this->relays.begin(), this->relays.end());
     for (const auto &relay : open) {
@@ -206,7 +206,7 @@
 void Gateway::dropEndpoint(const EndpointName &id)
 {
     this->pool.drop(id);
-    this->inUse.erase(id); // requests that are still open there end by themselves
+    this->inUse.erase(id); // requests still in progress at the endpoint end on their own
 }
 
 void Gateway::beginStop()
@@ -219,20 +219,20 @@
 
 void Gateway::refuseNew()
 {
-    // Idle connections stay open: a request that crosses our close would be lost, one that is refused is not.
+    // Idle connections stay open: a request in flight when the connection closes would be lost, a refused one is not.
     this->refusing = true;
 }
 
 std::size_t Gateway::closeListener()
 {
-    std::vector<Tcp::socket> waiting = lacewing::closeListener(this->acceptor);
-    for (Tcp::socket &socket : waiting) {
+    std::vector<Tcp::socket> backlog = lacewing::closeListener(this->acceptor);
+    for (Tcp::socket &socket : backlog) {
         this->addCaller(std::move(socket));
     }
     for (const auto &[caller, request] : this->callers) {
         caller->closeWhenIdle();
     }
-    return waiting.size();
+    return backlog.size();
 }
 
 bool Gateway::listening() const
@@ -266,7 +266,7 @@
 {
     NetError ignored; // the process ends
     this->acceptor.close(ignored);
-    const auto all = this->callers; // each takes itself off the list
+    const auto all = this->callers; // copied, as each aborted connection removes itself from the map
     for (const auto &[caller, request] : all) {
         caller->abort();
     }
--- a/lacewing/gateway.h
+++ b/lacewing/gateway.h
@@ -1,12 +1,12 @@
-// The data path of an entry VM: takes callers' requests, finds an endpoint for each and relays the answers.
+// The data path of an entry VM: accepts callers' requests, selects an endpoint for each and relays the answers.
 //
 //   Gateway gateway(context, clock, settings, format);
 //   gateway.listen(address);
-//   gateway.setConfig(config);          // whenever a newer one is known
-//   gateway.changeFleet([](Fleet &fleet) { ... });  // whenever something is learned of endpoints
+//   gateway.setConfig(config);                      // for each newer configuration
+//   gateway.changeFleet([](Fleet &fleet) { ... });  // for each change of an endpoint
 //
-// All of it runs on the one thread of the event loop. Decisions are free functions in files of their own
-// (endpointchoice, retrydecision, endpointtrust, adapterversions); this keeps their state and acts on them.
+// Runs only on the thread of the event loop. Decisions are free functions in separate files (endpointchoice,
+// retrydecision, endpointtrust, adapterversions); this class holds their state and carries them out.
 
 #pragma once
 
@@ -43,20 +43,20 @@
 
 struct GatewaySettings {
     ZoneName zone;
-    double retryShare = 0.2; ///< repeats as a share of requests, of each VM
-    double retryBurst = 1; ///< repeats of this VM that may be saved up for each service
+    double retryShare = 0.2; ///< retries as a share of requests, for each VM
+    double retryBurst = 1; ///< maximum unused retries that this VM accumulates for each service
     std::size_t mostConnections = 2000; ///< of callers
-    Duration versionBound = milliseconds(5000); ///< a new version is in force this long after it was acknowledged
+    Duration versionBound = milliseconds(5000); ///< a new version is in force within this time after its acknowledgment
 };
 
 /// Counts since the start, for the metrics page.
 struct GatewayCounters {
     std::int64_t requests = 0;
-    std::int64_t answered = 0; ///< with an endpoint's own answer
+    std::int64_t answered = 0; ///< with an endpoint's answer
     std::int64_t repeats = 0;
     std::int64_t callersGone = 0;
-    std::int64_t brokenAnswers = 0; ///< that broke off after they had begun
-    std::int64_t limitsIgnored = 0; ///< of endpoints, which could be none
+    std::int64_t brokenAnswers = 0; ///< truncated after they had started
+    std::int64_t limitsIgnored = 0; ///< implausible limits sent by endpoints
     std::map<ResultCode, std::int64_t> ownAnswers;
 };
 
@@ -65,94 +65,94 @@
 public:
     /// @param ioContext event loop; outlives the gateway
     /// @param runtimeClock source of all times
-    /// @param gatewaySettings who this VM is, and limits
-    /// @param requestFormat how requests and answers are spelled
+    /// @param gatewaySettings zone of this VM, and limits
+    /// @param requestFormat reads and writes the header fields of requests and answers
     Gateway(asio::io_context &ioContext, RuntimeClock &runtimeClock, GatewaySettings gatewaySettings,
             RequestFormat requestFormat);
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /// Takes callers' connections.
+    /// Starts to accept callers' connections.
     /// @param address numeric host:port
     /// @return what failed, if anything
     NetError listen(std::string_view address);
 
-    /// @param next configuration; taken over if its version is higher than the one in force
-    /// @return whether it is now in force
+    /// @param next configuration; applied if its version is higher than that of the current one
+    /// @return whether the configuration was applied
     bool setConfig(std::shared_ptr<const RouteConfig> next);
 
-    /// Changes what is known of the endpoints, then looks again at the requests that wait.
-    /// @param change is given the state
+    /// Changes the state of the endpoints, then retries the placement of waiting requests.
+    /// @param change modifies the state
     void changeFleet(const std::function<void(Fleet &)> &change);
 
     /// @param weights MODEL/ADAPTER
-    /// @param version named for it
-    /// @param isNew whether it was named just now; otherwise it is not known how long it has stood
+    /// @param version to be used for the weights
+    /// @param isNew whether the version was just set; otherwise the time of the change is unknown
     void setVersion(std::string_view weights, std::int32_t version, bool isNew);
 
-    /// @param share repeats as a share of requests
-    /// @param burst repeats of this VM that may be saved up for each service
+    /// @param share retries as a share of requests
+    /// @param burst maximum unused retries that this VM accumulates for each service
     void setRetryLimits(double share, double burst);
-    /// @return repeats of this VM that may be saved up for each service
+    /// @return maximum unused retries that this VM accumulates for each service
     double retryBurst() const;
 
-    /// Drops connections to an endpoint that is gone or was started again, and forgets what runs there.
+    /// Drops the connections to an endpoint that is gone or was restarted, and removes its requests from the usage
+    /// counts.
     /// @param id endpoint
     void dropEndpoint(const EndpointName &id);
 
-    /// Tells callers from now on that their connections close; connections stay open.
+    /// From now on, answers announce that the connection closes. Connections stay open.
     void beginStop();
-    /// Answers new requests with a refusal from now on, and closes their connections.
+    /// From now on, new requests are refused and their connections are closed.
     void refuseNew();
-    /// Takes no connection any more, and ends each that there is once it is idle.
-    /// @return connections that waited to be taken
+    /// Stops accepting connections and closes each open connection once it is idle.
+    /// @return number of connections accepted from the listener's backlog
     std::size_t closeListener();
-    /// @return whether connections are taken
+    /// @return whether connections are accepted
     bool listening() const;
-    /// @return connections of callers
+    /// @return number of callers' connections
     std::size_t connections() const;
-    /// @return requests in progress
+    /// @return number of requests in progress
     std::size_t openRequests() const;
-    /// @return callers that have not got the end of their answer yet, as far as is known
+    /// @return number of callers known not to have received their complete answer
     std::size_t deliveringCallers() const;
-    /// @return bytes of answers not handed to the kernel yet
+    /// @return bytes of answers not yet written to the kernel
     std::size_t unwrittenBytes() const;
-    /// Closes everything.
+    /// Closes the listener and aborts all connections.
     void close();
 
-    /// @return what this VM runs and waits for now
+    /// @return requests that this VM has in progress at each endpoint, and weights that requests wait for
     wire::DemandReport demand() const;
 
     const std::shared_ptr<const RouteConfig> &config() const;
     const Fleet &fleet() const;
     const AdapterVersions &versions() const;
     const GatewayCounters &counters() const;
-    /// @return what is known of requests that crash endpoints
+    /// @return detection of requests that crash endpoints
     CrashWatch &crashWatch();
     const CrashWatch &crashWatch() const;
 
-    /// A prompt of any VM joins the queue of an endpoint, or has been read there.
+    /// Records that a prompt of any VM joined an endpoint's prompt queue, or left it.
     void notePrompt(const wire::PromptSent &prompt);
 
-    /// Takes in what a VM has experienced of an endpoint.
-    /// @param vm that says so, this one included
-    /// @param vmZone its zone
-    /// @param news what it says
-    /// @return whether the endpoint is shunned now and was not before, or the other way round
-    bool noteEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news);
+    /// Applies a VM's report that an endpoint fails or works.
+    /// @param vm that reports, possibly this one
+    /// @param vmZone zone of that VM
+    /// @param update the report
+    /// @return whether the endpoint changed between shunned and not shunned
+    bool noteEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &update);
 
-    /// Takes in what another VM says of an endpoint's limit.
-    /// @param news what it says
-    void noteLimitNews(const wire::LimitNews &news);
+    /// Applies another VM's update of an endpoint's request rate limit.
+    void noteLimitNews(const wire::LimitNews &update);
 
-    /// Called with what others are to know of an endpoint's limit, and of requests sent to it.
+    /// Called with each update for other VMs of an endpoint's rate limit, and of requests sent to that endpoint.
     std::function<void(const wire::LimitNews &)> onLimitNews;
-    /// Called with what this VM has experienced of an endpoint, if others are to know.
+    /// Called with each report for other VMs that an endpoint fails or works.
     std::function<void(const wire::EndpointNews &)> onEndpointNews;
-    /// Called with each prompt of this VM that does so.
+    /// Called when a prompt of this VM joins or leaves an endpoint's prompt queue.
     std::function<void(const wire::PromptSent &)> onPrompt;
-    /// Called when a request begins to wait for weights that no endpoint holds.
+    /// Called when a request starts to wait for weights that no endpoint has loaded.
     std::function<void()> onWanted;
 
 private:
@@ -163,14 +163,14 @@
     void onRequest(const std::shared_ptr<CallerConnection> &caller, HttpRequestHead head, std::string body);
     void wakeWaiting();
     void wakeAfter(Duration delay);
-    void endProven();
-    void tellEndpointNews(const EndpointName &id, bool works);
+    void endProvenRequests();
+    void announceEndpointStatus(const EndpointName &id, bool works);
     void noteEndpointFailure(const EndpointName &id, EndpointFailure failure, const std::string &request);
     void noteEndpointSuccess(const EndpointName &id);
     void noteLimit(const EndpointName &id, const AnswerInfo &answer, bool success);
-    void tellLimit(const EndpointName &id, double perSecond);
+    void announceLimit(const EndpointName &id, double perSecond);
     void noteSend(const EndpointName &id);
-    std::size_t shunnedOf(const ServiceName &service) const;
+    std::size_t countShunned(const ServiceName &service) const;
     void wakePaced(const EndpointName &id);
     TimePoint now() const;
     RetryBudget &budgetOf(const ServiceName &service);
@@ -186,12 +186,12 @@
     AdapterVersions versionsNamed;
     EndpointPool pool;
     CrashWatch crashes;
-    asio::steady_timer roomTimer; ///< until an endpoint at its limit takes a request
-    std::optional<TimePoint> roomDue;
+    asio::steady_timer capacityTimer; ///< until an endpoint at its rate limit accepts a request
+    std::optional<TimePoint> capacityTimerDue;
     std::unordered_map<ServiceName, RetryBudget> budgets;
-    std::unordered_map<std::shared_ptr<CallerConnection>, std::weak_ptr<Relay>> callers; ///< with their last request
+    std::unordered_map<std::shared_ptr<CallerConnection>, std::weak_ptr<Relay>> callers; ///< with their latest request
     std::unordered_set<std::shared_ptr<Relay>> relays;
-    std::map<EndpointName, std::map<std::string, std::int32_t>> inUse; ///< requests by endpoint and weights
+    std::map<EndpointName, std::map<std::string, std::int32_t>> inUse; ///< requests in progress by endpoint and weights
     GatewayCounters counts;
     std::mt19937_64 random;
     bool stopping = false;
--- a/lacewing/gatewaynews.cpp
+++ b/lacewing/gatewaynews.cpp
@@ -1,4 +1,4 @@
-// What the gateway learns of endpoints from its requests, and what other VMs tell it of them.
+// Health and rate limits of endpoints: updates from this VM's requests and from other VMs.
 
 #include "gateway.h"
 
@@ -22,9 +22,9 @@
         logEvent("endpoint_ejected",
                  {{"endpoint", id}, {"id", request}, {"ejection_ms", inMilliseconds(endpoint.trust.ejection)}});
     }
-    const bool unusable = failure == EndpointFailure::Connect || failure == EndpointFailure::Broken;
-    if (unusable && shouldReport(endpoint.failures, now)) {
-        this->tellEndpointNews(id, false);
+    const bool unreachable = failure == EndpointFailure::Connect || failure == EndpointFailure::Broken;
+    if (unreachable && shouldReport(endpoint.failures, now)) {
+        this->announceEndpointStatus(id, false);
     }
 }
 
@@ -36,22 +36,22 @@
     }
     noteSuccess(found->second.trust);
     if (shouldVouch(found->second.failures, this->now())) {
-        this->tellEndpointNews(id, true);
+        this->announceEndpointStatus(id, true);
     }
 }
 
-void Gateway::tellEndpointNews(const EndpointName &id, bool works)
+void Gateway::announceEndpointStatus(const EndpointName &id, bool works)
 {
-    wire::EndpointNews news;
-    news.endpoint = id;
-    news.born = this->fleetState.endpoints.at(id).entry.born;
-    news.works = works;
+    wire::EndpointNews update;
+    update.endpoint = id;
+    update.born = this->fleetState.endpoints.at(id).entry.born;
+    update.works = works;
     if (this->onEndpointNews) {
-        this->onEndpointNews(news);
+        this->onEndpointNews(update);
     }
 }
 
-std::size_t Gateway::shunnedOf(const ServiceName &service) const
+std::size_t Gateway::countShunned(const ServiceName &service) const
 {
     const std::vector<EndpointName> &all = endpointsOf(this->fleetState, service);
     const auto shunned
@@ -59,33 +59,34 @@
     return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), shunned));
 }
 
-bool Gateway::noteEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news)
+bool Gateway::noteEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &update)
 {
-    if (!isIncarnation(this->fleetState, news.endpoint, news.born)) {
+    if (!isIncarnation(this->fleetState, update.endpoint, update.born)) {
         return false;
     }
-    FleetEndpoint &endpoint = this->fleetState.endpoints.at(news.endpoint);
+    FleetEndpoint &endpoint = this->fleetState.endpoints.at(update.endpoint);
     SharedFailures &failures = endpoint.failures;
     const TimePoint now = this->now();
-    const bool before = isShunned(failures, now);
-    if (news.works) {
+    const bool wasShunned = isShunned(failures, now);
+    if (update.works) {
         noteWorks(failures);
-        return before;
+        return wasShunned;
     }
     noteReport(failures, {vm, vmZone, now});
     const ServiceName &service = endpoint.entry.service;
     if (!isReportedFailing(failures, endpoint.entry.zone, this->settings.zone, now)
-        || (!before && !mayShunOneMore(this->shunnedOf(service), endpointsOf(this->fleetState, service).size()))) {
+        || (!wasShunned
+            && !mayShunOneMore(this->countShunned(service), endpointsOf(this->fleetState, service).size()))) {
         return false;
     }
     failures.shunnedUntil = now + shunningTime(this->random());
-    if (!before) {
+    if (!wasShunned) {
         logEvent("endpoint_shunned",
-                 {{"endpoint", news.endpoint},
+                 {{"endpoint", update.endpoint},
                   {"reporters", std::to_string(failures.reports.size())},
                   {"shunned_ms", inMilliseconds(failures.shunnedUntil - now)}});
     }
-    return !before;
+    return !wasShunned;
 }
 
 void Gateway::noteLimit(const EndpointName &id, const AnswerInfo &answer, bool success)
@@ -99,7 +100,7 @@
     if (!answer.limit) {
         if (success && noteNoLimit(limit, now)) {
             logEvent("limit_ended", {{"endpoint", id}, {"id", answer.id}});
-            this->tellLimit(id, 0);
+            this->announceLimit(id, 0);
             this->wakeWaiting();
         }
         return;
@@ -114,20 +115,20 @@
         logEvent("limit_named", {{"endpoint", id}, {"id", answer.id}, {"per_second", std::to_string(*answer.limit)}});
     }
     if (changed || shouldTell(limit, now)) {
-        this->tellLimit(id, limit.rate);
+        this->announceLimit(id, limit.rate);
     }
 }
 
-void Gateway::tellLimit(const EndpointName &id, double perSecond)
+void Gateway::announceLimit(const EndpointName &id, double perSecond)
 {
     FleetEndpoint &endpoint = this->fleetState.endpoints.at(id);
     endpoint.limit.told = this->now();
-    wire::LimitNews news;
-    news.endpoint = id;
-    news.born = endpoint.entry.born;
-    news.perSecond = perSecond;
+    wire::LimitNews update;
+    update.endpoint = id;
+    update.born = endpoint.entry.born;
+    update.perSecond = perSecond;
     if (this->onLimitNews) {
-        this->onLimitNews(news);
+        this->onLimitNews(update);
     }
 }
 
@@ -138,33 +139,33 @@
         return;
     }
     takeRoom(endpoint.limit, 1, this->now());
-    wire::LimitNews news;
-    news.endpoint = id;
-    news.born = endpoint.entry.born;
-    news.sent = 1;
+    wire::LimitNews update;
+    update.endpoint = id;
+    update.born = endpoint.entry.born;
+    update.sent = 1;
     if (this->onLimitNews) {
-        this->onLimitNews(news);
+        this->onLimitNews(update);
     }
 }
 
-void Gateway::noteLimitNews(const wire::LimitNews &news)
+void Gateway::noteLimitNews(const wire::LimitNews &update)
 {
-    if (!isIncarnation(this->fleetState, news.endpoint, news.born)) {
+    if (!isIncarnation(this->fleetState, update.endpoint, update.born)) {
         return;
     }
-    EndpointLimit &limit = this->fleetState.endpoints.at(news.endpoint).limit;
+    EndpointLimit &limit = this->fleetState.endpoints.at(update.endpoint).limit;
     const TimePoint now = this->now();
-    const TimePoint at = now - milliseconds(std::max<std::int64_t>(0, news.ageMilliseconds));
-    if (news.sent > 0 && isLimited(limit)) {
-        takeRoom(limit, news.sent, now);
+    const TimePoint at = now - milliseconds(std::max<std::int64_t>(0, update.ageMilliseconds));
+    if (update.sent > 0 && isLimited(limit)) {
+        takeRoom(limit, update.sent, now);
     }
-    if (isPlausibleLimit(news.perSecond)) {
+    if (isPlausibleLimit(update.perSecond)) {
         limit.told = now;
-        if (lacewing::noteLimit(limit, news.perSecond, at, now)) {
-            logEvent("limit_told", {{"endpoint", news.endpoint}, {"per_second", std::to_string(news.perSecond)}});
+        if (lacewing::noteLimit(limit, update.perSecond, at, now)) {
+            logEvent("limit_told", {{"endpoint", update.endpoint}, {"per_second", std::to_string(update.perSecond)}});
         }
-    } else if (news.perSecond == 0 && noteNoLimit(limit, at)) {
-        logEvent("limit_ended", {{"endpoint", news.endpoint}});
+    } else if (update.perSecond == 0 && noteNoLimit(limit, at)) {
+        logEvent("limit_ended", {{"endpoint", update.endpoint}});
         this->wakeWaiting();
     }
 }
@@ -172,14 +173,14 @@
 void Gateway::wakeAfter(Duration delay)
 {
     const TimePoint at = this->now() + delay;
-    if (this->roomDue && *this->roomDue <= at) {
+    if (this->capacityTimerDue && *this->capacityTimerDue <= at) {
         return;
     }
-    this->roomDue = at;
-    this->roomTimer.expires_after(delay);
-    this->roomTimer.async_wait([this](const NetError &error) {
+    this->capacityTimerDue = at;
+    this->capacityTimer.expires_after(delay);
+    this->capacityTimer.async_wait([this](const NetError &error) {
         if (!error) {
-            this->roomDue.reset();
+            this->capacityTimerDue.reset();
             runGuarded("limit_room", [this] { this->wakeWaiting(); });
         }
     });
--- a/lacewing/handlerguard.cpp
+++ b/lacewing/handlerguard.cpp
@@ -1,4 +1,4 @@
-// One count for the whole process: it has one event loop and one thread.
+// Failures are counted per process, which has one event loop on one thread.
 
 #include "handlerguard.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-HandlerFailures &failuresOfProcess()
+HandlerFailures &processFailures()
 {
     static HandlerFailures failures;
     return failures;
@@ -30,22 +30,22 @@
 
 } // namespace
 
-void noteFailure(HandlerFailures &failures, TimePoint now)
+void recordFailure(HandlerFailures &failures, TimePoint now)
 {
-    const bool goesOn = failures.total > 0 && now - failures.last < failureMemory;
-    failures.inSeries = goesOn ? failures.inSeries + 1 : 1;
+    const bool continuesSeries = failures.total > 0 && now - failures.last < failureSeriesGap;
+    failures.inSeries = continuesSeries ? failures.inSeries + 1 : 1;
     failures.total += 1;
     failures.last = now;
 }
 
 bool isFailingInSeries(const HandlerFailures &failures)
 {
-    return failures.inSeries > mostFailuresInSeries;
+    return failures.inSeries > maxFailuresInSeries;
 }
 
 const HandlerFailures &handlerFailures()
 {
-    return failuresOfProcess();
+    return processFailures();
 }
 
 void reportHandlerFailure(std::string_view place, const std::exception_ptr &error)
@@ -53,7 +53,7 @@
     if (!error) {
         return;
     }
-    noteFailure(failuresOfProcess(), RuntimeClock().now());
+    recordFailure(processFailures(), RuntimeClock().now());
     logEvent("handler_failed",
              {{"place", std::string(place)},
               {"error", describe(error)},
--- a/lacewing/handlerguard.h
+++ b/lacewing/handlerguard.h
@@ -1,10 +1,10 @@
-// Bounds an exception in a handler of the event loop to what the handler was about.
+// Limits the effect of an exception in an event-loop handler to the work of that handler.
 //
-//   if (!runGuarded("datagram", [&] { take(datagram); })) ...   // failed: logged with its place, and counted
+//   if (!runGuarded("datagram", [&] { take(datagram); })) ...   // failed: logged and counted
 //
-// Handlers throw nothing by design, so an exception is a fault of the program. Ending the process would end all of its
-// requests for a fault in one; going on for ever with a state that is broken would be worse. So a process goes on after
-// single failures, and ends, to be started anew, when they come in series.
+// Handlers do not throw by design, so an exception is a bug. Ending the process would fail all of its requests for a
+// bug in one of them, but continuing indefinitely with corrupt state would be worse. The process therefore continues
+// after single failures and ends, to be restarted, after a series of them.
 
 #pragma once
 
@@ -17,44 +17,45 @@
 
 namespace lacewing {
 
-/// Failures of handlers so far.
+/// Counts of handler failures.
 struct HandlerFailures {
     std::int64_t total = 0;
-    std::int64_t inSeries = 0; ///< since the process was last free of them for failureMemory
+    std::int64_t inSeries = 0; ///< each less than failureSeriesGap after the previous one
     TimePoint last;
 };
 
-/// Failures in a series after which the process is to end.
-constexpr std::int64_t mostFailuresInSeries = 20;
-/// A failure this long after the one before begins a new series.
-constexpr Duration failureMemory = milliseconds(10000);
+/// The process must end after more failures than this in one series.
+constexpr std::int64_t maxFailuresInSeries = 20;
+/// A failure this long after the previous one starts a new series.
+constexpr Duration failureSeriesGap = milliseconds(10000);
 
+/// Counts one failure.
 /// @param failures changed
-/// @param now time
-void noteFailure(HandlerFailures &failures, TimePoint now);
+/// @param now current time
+void recordFailure(HandlerFailures &failures, TimePoint now);
 
-/// @param failures so far
-/// @return whether the process is to end
+/// @return whether the process must end
 bool isFailingInSeries(const HandlerFailures &failures);
 
-/// @return failures of all handlers of this process
+/// @return failures of all handlers in this process
 const HandlerFailures &handlerFailures();
 
 /// Logs and counts an exception that was caught elsewhere.
-/// @param place where it was thrown, in lower case with underscores
-/// @param error what was thrown; none: nothing happens
+/// @param place name of the failed operation, in lower case with underscores
+/// @param error the exception; null: does nothing
 void reportHandlerFailure(std::string_view place, const std::exception_ptr &error);
 
-/// @param place as above
-/// @return completion handler of a coroutine that nobody waits for
+/// @param place name of the operation, in lower case with underscores
+/// @return completion handler for a detached coroutine, which logs and counts its exception
 inline auto reportingFailure(std::string_view place)
 {
     return [place](const std::exception_ptr &error) { reportHandlerFailure(place, error); };
 }
 
-/// @param place name of what the handler does, in lower case with underscores
+/// Runs a handler; logs and counts an exception.
+/// @param place name of the handler's operation, in lower case with underscores
 /// @param handler to be run
-/// @return whether it ended without an exception
+/// @return whether the handler ended without an exception
 bool runGuarded(std::string_view place, const std::function<void()> &handler);
 
 } // namespace lacewing
--- a/lacewing/logline.cpp
+++ b/lacewing/logline.cpp
@@ -1,4 +1,4 @@
-// Bare where the value has only printable characters that mean nothing in a line; else quoted and escaped.
+// A value is written bare if it has only printable characters without a special meaning, otherwise quoted and escaped.
 
 #include "logline.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::string_view cutMark = "...";
+constexpr std::string_view truncationMark = "...";
 
 bool isBare(char character)
 {
@@ -48,7 +48,7 @@
     for (const char character : shown) {
         appendEscaped(text, character);
     }
-    text += shown.size() < value.size() ? cutMark : "";
+    text += shown.size() < value.size() ? truncationMark : "";
     return text + "\"";
 }
 
--- a/lacewing/logline.h
+++ b/lacewing/logline.h
@@ -1,9 +1,9 @@
-// One line of the log: key=value pairs, escaped so that a value can never add a line or a key.
+// Formats one log line of key=value pairs, escaped so that a value cannot inject a line or a key.
 //
 //   formatLogLine("load_failed", {{"endpoint", "e1"}, {"adapter", "menu@3"}})
 //
 // gives: event=load_failed endpoint=e1 adapter=menu@3
-// Callers never pass secrets.
+// Callers must not pass secrets.
 
 #pragma once
 
@@ -17,15 +17,15 @@
 
 using LogField = std::pair<std::string_view, std::string>;
 
-/// Longest value written; the rest is cut off and marked with "...".
+/// Values are truncated to this many bytes and end with "..." then.
 constexpr std::size_t longestLogValue = 1024;
 
 /// @param value any bytes
-/// @return the value as a line shows it: bare, or quoted with escapes
+/// @return the value unchanged, or quoted with escapes where necessary
 std::string escapeLogValue(std::string_view value);
 
-/// @param event what happened
-/// @param fields further pairs, in order
+/// @param event name of the event
+/// @param fields key=value pairs, in order
 /// @return "event=… key=value …" without time and level
 std::string formatLogLine(std::string_view event, std::span<const LogField> fields);
 
--- a/lacewing/netaddress.cpp
+++ b/lacewing/netaddress.cpp
@@ -1,5 +1,5 @@
-// Dead connections are left to the kernel's keepalive and user timeout: no message of our own is needed
-// to find out that a VM is gone.
+// Dead connections are detected by the kernel's keepalive and user timeout, so no heartbeat message is needed to notice
+// that a VM is gone.
 
 #include "netaddress.h"
 
@@ -22,7 +22,8 @@
 template<int Name>
 using TcpOption = asio::detail::socket_option::integer<IPPROTO_TCP, Name>;
 
-/// @return as recv(), for one byte that stays where it is
+/// Reads one byte without consuming it.
+/// @return result of recv()
 ssize_t peek(Tcp::socket &socket)
 {
     std::array<char, 1> byte {};
@@ -61,7 +62,7 @@
 
 void tuneSocket(Tcp::socket &socket)
 {
-    NetError ignored; // a socket that was just closed fails at its next use
+    NetError ignored; // if the socket was just closed, its next use fails
     socket.set_option(Tcp::no_delay(true), ignored);
     socket.set_option(Tcp::socket::keep_alive(true), ignored);
     socket.set_option(TcpOption<TCP_KEEPIDLE>(keepaliveIdleSeconds), ignored);
@@ -94,7 +95,7 @@
 {
     std::vector<Tcp::socket> waiting;
     NetError error;
-    acceptor.cancel(error); // ends the wait for a connection; a closed one has none
+    acceptor.cancel(error); // ends the pending accept; has no effect if the acceptor is closed
     acceptor.non_blocking(true, error);
     while (!error) {
         Tcp::socket socket(acceptor.get_executor());
@@ -110,8 +111,8 @@
 bool closedByOther(Tcp::socket &socket)
 {
     const ssize_t size = peek(socket);
-    const bool nothingYet = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-    return size <= 0 && !nothingYet;
+    const bool noDataYet = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+    return size <= 0 && !noDataYet;
 }
 
 bool hasUnread(Tcp::socket &socket)
--- a/lacewing/netaddress.h
+++ b/lacewing/netaddress.h
@@ -1,4 +1,4 @@
-// Asio as this project uses it, and addresses in the form "127.0.0.1:4000" or "[::1]:4000".
+// Common Asio includes and TCP socket helpers, and addresses in the form "127.0.0.1:4000" or "[::1]:4000".
 
 #pragma once
 
@@ -24,7 +24,7 @@
 using NetError = boost::system::error_code;
 using Tcp = asio::ip::tcp;
 
-/// The token that makes an asynchronous operation awaitable and report its error.
+/// Makes an asynchronous operation awaitable and stores its error instead of throwing it.
 /// @param error set when the operation ends
 /// @return completion token
 inline auto awaitInto(NetError &error)
@@ -33,15 +33,15 @@
 }
 
 /// @param text numeric address and port
-/// @return the address, or nothing if the text has not that form
+/// @return the address, or nothing if the text is malformed
 std::optional<Tcp::endpoint> parseAddress(std::string_view text);
 
 /// @param address numeric address and port
 /// @return its text form
 std::string toString(const Tcp::endpoint &address);
 
-/// Settings for each TCP connection: no delay for small writes, and a dead other side noticed within
-/// seconds also while nothing is sent.
+/// Sets the options of a TCP connection: small writes are sent without delay, and a dead peer is detected within
+/// seconds even on an idle connection.
 /// @param socket a connected socket
 void tuneSocket(Tcp::socket &socket);
 
@@ -51,19 +51,19 @@
 /// @return what failed, if anything
 NetError listenOn(Tcp::acceptor &acceptor, std::string_view address);
 
-/// Closes a listening socket. Connections that wait there to be accepted are taken first, as closing resets them.
+/// Closes a listening socket. Connections in its backlog are accepted first, because closing would reset them.
 /// @param acceptor listening or closed
-/// @return the connections that waited
+/// @return the accepted connections
 std::vector<Tcp::socket> closeListener(Tcp::acceptor &acceptor);
 
-/// Looks at a connection without taking data from it.
+/// Checks a connection without consuming data.
 /// @param socket a connected socket, in non-blocking mode or not
-/// @return whether the other side has closed it or it is broken
+/// @return whether the peer has closed the connection or it is broken
 bool closedByOther(Tcp::socket &socket);
 
-/// Looks at a connection without taking data from it.
+/// Checks a connection without consuming data.
 /// @param socket a connected socket, in non-blocking mode or not
-/// @return whether bytes have arrived that are not read yet
+/// @return whether received bytes have not been read yet
 bool hasUnread(Tcp::socket &socket);
 
 } // namespace lacewing
--- a/lacewing/routeconfig.cpp
+++ b/lacewing/routeconfig.cpp
@@ -1,4 +1,4 @@
-// Routes are found by host first; the few prefixes of a host are then tried from the longest on.
+// Routes are looked up by host first. The few prefixes of a host are then compared linearly, longest first.
 
 #include "routeconfig.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string normalHost(std::string_view host)
+std::string normalizeHost(std::string_view host)
 {
     std::string name(host.substr(0, host.find(':')));
     for (char &letter : name) {
@@ -22,11 +22,11 @@
 
 void indexRoutes(RouteConfig &config)
 {
-    config.routesOfHost.clear();
+    config.routesByHost.clear();
     for (std::size_t index = 0; index < config.routes.size(); ++index) {
-        config.routesOfHost[normalHost(config.routes[index].host)].push_back(index);
+        config.routesByHost[normalizeHost(config.routes[index].host)].push_back(index);
     }
-    for (auto &[host, indexes] : config.routesOfHost) {
+    for (auto &[host, indexes] : config.routesByHost) {
         std::stable_sort(indexes.begin(), indexes.end(), [&config](std::size_t left, std::size_t right) {
             return config.routes[left].pathPrefix.size() > config.routes[right].pathPrefix.size();
         });
@@ -35,8 +35,8 @@
 
 const ServiceRoute *findRoute(const RouteConfig &config, std::string_view host, std::string_view target)
 {
-    const auto found = config.routesOfHost.find(normalHost(host));
-    if (found == config.routesOfHost.end()) {
+    const auto found = config.routesByHost.find(normalizeHost(host));
+    if (found == config.routesByHost.end()) {
         return nullptr;
     }
     const std::string_view path = target.substr(0, target.find('?'));
@@ -55,10 +55,10 @@
     for (const ServiceShare &share : route.services) {
         total += share.weight;
     }
-    double left = draw * total;
+    double remaining = draw * total;
     for (const ServiceShare &share : route.services) {
-        left -= share.weight;
-        if (left < 0) {
+        remaining -= share.weight;
+        if (remaining < 0) {
             return share.service;
         }
     }
--- a/lacewing/routeconfig.h
+++ b/lacewing/routeconfig.h
@@ -1,8 +1,8 @@
-// Routes and services as the operators configure them: one whole, immutable configuration with a version.
+// Routes and services as the operators configure them: one immutable, versioned configuration.
 //
 //   if (const ServiceRoute *route = findRoute(config, host, target)) ...
 //
-// A newer configuration replaces the whole; requests that are in progress keep the one they began with.
+// A newer configuration replaces the whole; requests in progress keep the configuration they started with.
 
 #pragma once
 
@@ -18,11 +18,11 @@
 
 namespace lacewing {
 
-/// What may be repeated.
+/// How often a request of a route may run.
 enum class RouteKind {
     Repeatable, ///< may run any number of times
-    Once, ///< runs at most once for each attempt of the caller
-    Stream, ///< an event stream; at most once unless it can be resumed
+    Once, ///< at most once for each attempt of the caller
+    Stream, ///< an event stream; at most once unless the stream is resumable
 };
 
 /// Share of a route's traffic that goes to a service.
@@ -36,42 +36,42 @@
     std::string host; ///< lower case
     std::string pathPrefix; ///< begins and ends with a slash
     RouteKind kind = RouteKind::Once;
-    std::vector<ServiceShare> services; ///< one, or several with weights
-    Duration timeout {0}; ///< after this long the caller gets a final answer
-    Duration latencyObjective {0}; ///< for the answer, or the first event of a stream
+    std::vector<ServiceShare> services; ///< at least one
+    Duration timeout {0}; ///< the caller gets a final answer within this time
+    Duration latencyObjective {0}; ///< until the answer, or the first event of a stream
     std::int32_t rank = 0; ///< 0 is the most urgent
-    std::int32_t mostAttempts = 1; ///< endpoints on which one attempt of the caller may run
-    bool resumable = false; ///< a broken stream may go on at another endpoint
-    bool sticky = false; ///< its prompts share parts that endpoints keep
-    Duration longestGap {0}; ///< between two events of a stream that is on time
-    Duration silencePatience {0}; ///< callers leave a stream that is silent for longer; 0: not known
+    std::int32_t mostAttempts = 1; ///< maximum endpoints that may run one attempt of the caller
+    bool resumable = false; ///< a broken stream may continue at another endpoint
+    bool sticky = false; ///< the route's prompts share parts that endpoints cache
+    Duration longestGap {0}; ///< maximum gap between two events of a stream that meets its target
+    Duration silencePatience {0}; ///< callers abandon a stream without events for longer than this; 0: unknown
 };
 
 struct ModelSpec {
     std::string name;
     double weightsMegabytes = 0;
-    double adapterMegabytes = 0; ///< of each of its adapters
-    Duration loadTime {0}; ///< from the weight store, while it is not crowded
+    double adapterMegabytes = 0; ///< of each adapter of the model
+    Duration loadTime {0}; ///< from the weight store without contention
 };
 
-/// What the model engines of a service can hold.
+/// Capacity of the model engines of a service.
 struct EngineSpec {
-    std::int32_t slots = 1; ///< requests in one batch
-    std::int64_t cacheTokens = 0; ///< KV cache
+    std::int32_t slots = 1; ///< maximum requests in one batch
+    std::int64_t cacheTokens = 0; ///< size of the KV cache
     double weightsMegabytes = 0; ///< for weights and adapters together
     std::int32_t adapterSlots = 0;
     std::int32_t tokensPerEvent = 1; ///< of a stream
-    double loadsPerSecond = 0; ///< of models from the weight store, over all engines
+    double loadsPerSecond = 0; ///< of models from the weight store, total of all engines
     std::vector<ModelSpec> models;
 };
 
 struct ServiceSpec {
     ServiceName name;
-    std::int32_t mostConnections = 0; ///< to one endpoint, of all VMs together; 0: no limit
+    std::int32_t mostConnections = 0; ///< to one endpoint, total of all VMs; 0: no limit
     std::optional<EngineSpec> engine; ///< absent for a plain service
 };
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 struct CallerLimits {
     std::uint32_t headBytes = 16384;
     std::uint64_t bodyBytes = 4194304;
@@ -84,27 +84,25 @@
     std::vector<ServiceRoute> routes;
     std::map<ServiceName, ServiceSpec> services;
     CallerLimits limits;
-    std::unordered_map<std::string, std::vector<std::size_t>> routesOfHost; ///< longest prefix first
+    std::unordered_map<std::string, std::vector<std::size_t>> routesByHost; ///< longest prefix first
 };
 
-/// Fills routesOfHost; to be called once after the routes are set.
+/// Fills routesByHost; call once after the routes are set.
 /// @param config changed
 void indexRoutes(RouteConfig &config);
 
-/// @param config indexed configuration
+/// @param config with filled routesByHost
 /// @param host value of the Host header, with or without a port
 /// @param target path and query
-/// @return the route with the longest prefix of the path, or null
+/// @return the host's route with the longest matching path prefix, or null
 const ServiceRoute *findRoute(const RouteConfig &config, std::string_view host, std::string_view target);
 
 /// @param route with at least one service
-/// @param draw from 0 up to 1, evenly distributed
+/// @param draw uniformly distributed in [0, 1)
 /// @return the service for a request, by weight
 const ServiceName &chooseService(const ServiceRoute &route, double draw);
 
-/// @param config configuration
-/// @param service name of a service
-/// @return its specification, or null
+/// @return the specification of the service, or null
 const ServiceSpec *findService(const RouteConfig &config, std::string_view service);
 
 } // namespace lacewing
--- a/lacewing/testing/crashledgertest.cpp
+++ b/lacewing/testing/crashledgertest.cpp
@@ -1,4 +1,4 @@
-// Which requests VMs hold to crash endpoints: single rules, then many VMs on a paused clock with lost reports.
+// Detection of requests that crash endpoints: single rules, then a simulation of many VMs that lose updates.
 
 #include "crashledger.h"
 
@@ -22,21 +22,21 @@
 constexpr RequestDigest poison = 1;
 constexpr RequestDigest sound = 2;
 
-/// A ledger and its clock.
-struct Book {
+/// A ledger and its current time.
+struct LedgerFixture {
     CrashLedger ledger;
     TimePoint now = start;
 
-    /// An endpoint ends with these requests in progress; later the ledger is reviewed.
+    /// Records a crash with these requests in progress, then advances the time and reviews the ledger.
     void crash(const std::string &endpoint, const std::vector<RequestDigest> &digests,
                Duration later = milliseconds(1000))
     {
-        noteCrash(this->ledger, crashKeyOf(endpoint, 1), "s", {digests, {}}, this->now);
+        recordCrash(this->ledger, crashKeyOf(endpoint, 1), "s", {digests, {}}, this->now);
         this->now += later;
         reviewLedger(this->ledger, this->now);
     }
 
-    Suspicion of(RequestDigest digest) const
+    Suspicion suspicion(RequestDigest digest) const
     {
         return suspicionOf(this->ledger, digest);
     }
@@ -46,195 +46,197 @@
 
 Test(crashledger, threeCrashesProveARequest)
 {
-    Book book;
-    book.crash("a", {poison, 10, 11});
-    book.crash("b", {poison, 12});
-    cr_assert_eq(book.of(poison), Suspicion::Suspected);
-    book.crash("c", {poison, 13});
-    cr_assert_eq(book.of(poison), Suspicion::Proven);
+    LedgerFixture fixture;
+    fixture.crash("a", {poison, 10, 11});
+    fixture.crash("b", {poison, 12});
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Suspected);
+    fixture.crash("c", {poison, 13});
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Proven);
     for (const RequestDigest other : {10, 11, 12, 13}) {
-        cr_assert_eq(book.of(other), Suspicion::None, "its crashes are explained");
+        cr_assert_eq(fixture.suspicion(other), Suspicion::None, "its crashes are explained by the proven request");
     }
 }
 
-Test(crashledger, anEndpointThatEndsIsOneCrashHoweverManyTellOfIt)
+Test(crashledger, repeatedReportsOfAnIncarnationCountAsOneCrash)
 {
-    Book book;
+    LedgerFixture fixture;
     for (int times = 0; times < 5; ++times) {
-        book.crash("a", {poison});
+        fixture.crash("a", {poison});
     }
-    cr_assert_eq(book.of(poison), Suspicion::Suspected);
-    noteCrash(book.ledger, crashKeyOf("a", 2), "s", {{poison}, {}}, book.now); // its next incarnation
-    noteCrash(book.ledger, crashKeyOf("a", 3), "s", {{poison}, {}}, book.now + milliseconds(1000));
-    cr_assert_eq(reviewLedger(book.ledger, book.now + milliseconds(3000)).size(), 1U);
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Suspected);
+    recordCrash(fixture.ledger, crashKeyOf("a", 2), "s", {{poison}, {}}, fixture.now); // its next incarnation
+    recordCrash(fixture.ledger, crashKeyOf("a", 3), "s", {{poison}, {}}, fixture.now + milliseconds(1000));
+    cr_assert_eq(reviewLedger(fixture.ledger, fixture.now + milliseconds(3000)).size(), 1U);
 }
 
-Test(crashledger, aRequestThatEndsWholeIsCleared)
+Test(crashledger, aCompletedRequestIsCleared)
 {
-    Book book;
-    book.crash("a", {sound});
-    book.crash("b", {sound});
-    cr_assert(noteCompletion(book.ledger, sound));
-    cr_assert_not(noteCompletion(book.ledger, sound), "told once");
-    cr_assert_eq(book.of(sound), Suspicion::None);
-    book.crash("c", {sound});
-    cr_assert_eq(book.of(sound), Suspicion::Suspected);
-    // What another VM says late of the crashes before does not bring them back.
-    noteStatement(book.ledger, {sound, {crashKeyOf("a", 1), crashKeyOf("b", 1)}, {}}, book.now);
-    book.now += milliseconds(1000);
-    cr_assert(reviewLedger(book.ledger, book.now).empty());
+    LedgerFixture fixture;
+    fixture.crash("a", {sound});
+    fixture.crash("b", {sound});
+    cr_assert(noteCompletion(fixture.ledger, sound));
+    cr_assert_not(noteCompletion(fixture.ledger, sound), "the second completion clears nothing");
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::None);
+    fixture.crash("c", {sound});
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::Suspected);
+    // A late update of another VM about cleared crashes does not restore them.
+    applyStatement(fixture.ledger, {sound, {crashKeyOf("a", 1), crashKeyOf("b", 1)}, {}}, fixture.now);
+    fixture.now += milliseconds(1000);
+    cr_assert(reviewLedger(fixture.ledger, fixture.now).empty());
 }
 
-Test(crashledger, endpointsThatEndTogetherAreOneCrashToRequestsThatRanAtSomeOfThem)
+Test(crashledger, endpointsThatEndTogetherAreOneCrashForARequestAtSomeOfThem)
 {
-    Book book;
+    LedgerFixture fixture;
     for (const char *endpoint : {"a", "b", "c", "d"}) {
-        book.crash(endpoint, {sound}, milliseconds(2));
+        fixture.crash(endpoint, {sound}, milliseconds(2));
     }
-    book.crash("e", {10}, milliseconds(1000));
-    cr_assert_eq(book.of(sound), Suspicion::Suspected, "copies of a repeating caller at a rack that lost power");
+    fixture.crash("e", {10}, milliseconds(1000));
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::Suspected,
+                 "copies of a retried request at a rack that lost power");
 }
 
-Test(crashledger, copiesThatEndTheirEndpointsTogetherProveARequest)
+Test(crashledger, simultaneousCrashesUnderCopiesOfARequestCountSeparately)
 {
-    Book book;
+    LedgerFixture fixture;
     for (const char *endpoint : {"a", "b", "c"}) {
-        book.crash(endpoint, {poison, 10}, milliseconds(2));
+        fixture.crash(endpoint, {poison, 10}, milliseconds(2));
     }
-    book.now += milliseconds(1000);
-    reviewLedger(book.ledger, book.now);
-    cr_assert_neq(book.of(10), Suspicion::Proven);
-    book.crash("d", {poison});
-    cr_assert_eq(book.of(poison), Suspicion::Proven);
+    fixture.now += milliseconds(1000);
+    reviewLedger(fixture.ledger, fixture.now);
+    cr_assert_neq(fixture.suspicion(10), Suspicion::Proven);
+    fixture.crash("d", {poison});
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Proven);
 }
 
-Test(crashledger, aRequestThatWasBesideTheOtherAtEachCrashIsNotProvenBeforeItLeads)
+Test(crashledger, requestsWithEqualCrashesAreNotProvenUntilOneHasMore)
 {
-    Book book;
+    LedgerFixture fixture;
     for (const char *endpoint : {"a", "b", "c"}) {
-        book.crash(endpoint, {poison, sound});
+        fixture.crash(endpoint, {poison, sound});
     }
-    cr_assert_eq(book.of(sound), Suspicion::Suspected);
-    book.crash("d", {poison});
-    cr_assert_eq(book.of(poison), Suspicion::Proven);
-    cr_assert_eq(book.of(sound), Suspicion::None);
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::Suspected);
+    fixture.crash("d", {poison});
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Proven);
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::None);
 }
 
-Test(crashledger, twoThatAreAlwaysTogetherAreBothProvenInTheEnd)
+Test(crashledger, twoRequestsWithEqualCrashesAreProvenByCrashesToProveAlone)
 {
-    Book book;
+    LedgerFixture fixture;
     for (std::size_t number = 0; number < crashesToProveAlone; ++number) {
-        book.crash("e" + std::to_string(number), {poison, sound});
+        fixture.crash("e" + std::to_string(number), {poison, sound});
     }
-    cr_assert_eq(book.of(poison), Suspicion::Proven);
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Proven);
 }
 
-Test(crashledger, aRequestThatCrashesEndpointsLateIsProvenByMoreCrashes)
+Test(crashledger, aRequestThatCrashesEndpointsLateIsProvenByCrashesToProveAlone)
 {
-    Book book;
+    LedgerFixture fixture;
     for (std::size_t number = 1; number <= crashesToProveAlone; ++number) {
-        cr_assert_neq(book.of(poison), Suspicion::Proven);
-        noteCrash(book.ledger, crashKeyOf("e" + std::to_string(number), 1), "s", {{}, {poison, 10 + number}}, book.now);
-        book.now += milliseconds(1000);
-        reviewLedger(book.ledger, book.now);
+        cr_assert_neq(fixture.suspicion(poison), Suspicion::Proven);
+        recordCrash(fixture.ledger, crashKeyOf("e" + std::to_string(number), 1), "s", {{}, {poison, 10 + number}},
+                    fixture.now);
+        fixture.now += milliseconds(1000);
+        reviewLedger(fixture.ledger, fixture.now);
     }
-    cr_assert_eq(book.of(poison), Suspicion::Proven);
+    cr_assert_eq(fixture.suspicion(poison), Suspicion::Proven);
 }
 
-Test(crashledger, anEndpointThatIsAliveTakesItsCrashBack)
+Test(crashledger, aRefutedCrashNoLongerCounts)
 {
-    Book book;
-    book.crash("a", {sound});
-    book.crash("b", {sound});
-    book.crash("c", {sound});
-    cr_assert_eq(book.of(sound), Suspicion::Proven);
-    cr_assert(refuteCrash(book.ledger, crashKeyOf("b", 1)));
-    cr_assert_not(refuteCrash(book.ledger, crashKeyOf("b", 1)));
-    cr_assert_eq(book.of(sound), Suspicion::Suspected);
+    LedgerFixture fixture;
+    fixture.crash("a", {sound});
+    fixture.crash("b", {sound});
+    fixture.crash("c", {sound});
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::Proven);
+    cr_assert(refuteCrash(fixture.ledger, crashKeyOf("b", 1)));
+    cr_assert_not(refuteCrash(fixture.ledger, crashKeyOf("b", 1)));
+    cr_assert_eq(fixture.suspicion(sound), Suspicion::Suspected);
 }
 
-Test(crashledger, aVmThatKnowsNothingLearnsFromWhatIsToldAgain)
+Test(crashledger, aVmWithoutStateLearnsFromPeriodicUpdates)
 {
-    Book book;
+    LedgerFixture fixture;
     for (const char *endpoint : {"a", "b", "c"}) {
-        book.crash(endpoint, {poison, 10});
+        fixture.crash(endpoint, {poison, 10});
     }
-    book.crash("d", {poison});
-    Book fresh;
-    for (const SuspectStatement &statement : statementsOf(book.ledger, 0, 4, book.now)) {
-        noteStatement(fresh.ledger, statement, fresh.now);
+    fixture.crash("d", {poison});
+    LedgerFixture fresh;
+    for (const SuspectStatement &statement : selectStatements(fixture.ledger, 0, 4, fixture.now)) {
+        applyStatement(fresh.ledger, statement, fresh.now);
     }
     fresh.now += settlingTime;
     cr_assert_eq(reviewLedger(fresh.ledger, fresh.now).size(), 1U);
-    cr_assert_eq(fresh.of(poison), Suspicion::Proven);
-    cr_assert_eq(fresh.of(10), Suspicion::None);
+    cr_assert_eq(fresh.suspicion(poison), Suspicion::Proven);
+    cr_assert_eq(fresh.suspicion(10), Suspicion::None);
 }
 
-Test(crashledger, zonesThatWereCutOffAddUpWhatEachHasSeen)
+Test(crashledger, partitionedZonesMergeTheirCrashes)
 {
-    Book one;
+    LedgerFixture one;
     one.crash("a", {poison});
     one.crash("b", {poison});
-    Book other;
+    LedgerFixture other;
     other.crash("c", {poison});
-    for (const SuspectStatement &statement : statementsOf(one.ledger, 0, 4, one.now)) {
-        noteStatement(other.ledger, statement, other.now);
+    for (const SuspectStatement &statement : selectStatements(one.ledger, 0, 4, one.now)) {
+        applyStatement(other.ledger, statement, other.now);
     }
     other.now += settlingTime;
     reviewLedger(other.ledger, other.now);
-    cr_assert_eq(other.of(poison), Suspicion::Proven);
+    cr_assert_eq(other.suspicion(poison), Suspicion::Proven);
 }
 
-Test(crashledger, memoryStaysBoundedHoweverManyRequestsDiffer)
+Test(crashledger, memoryIsBoundedForManyDifferentRequests)
 {
-    Book book;
+    LedgerFixture fixture;
     RequestDigest next = 100;
     for (int number = 0; number < 2000; ++number) {
         std::vector<RequestDigest> digests(64);
         std::generate(digests.begin(), digests.end(), [&next] { return next++; });
-        noteCrash(book.ledger, crashKeyOf("e" + std::to_string(number), 1), "s", {digests, {}}, book.now);
-        book.now += milliseconds(10);
+        recordCrash(fixture.ledger, crashKeyOf("e" + std::to_string(number), 1), "s", {digests, {}}, fixture.now);
+        fixture.now += milliseconds(10);
     }
-    cr_assert_leq(book.ledger.suspects.size(), mostSuspects);
-    cr_assert_leq(book.ledger.crashes.size(), mostCrashes);
-    book.now += suspicionMemory;
-    reviewLedger(book.ledger, book.now);
-    cr_assert(book.ledger.suspects.empty());
-    cr_assert(book.ledger.crashes.empty());
+    cr_assert_leq(fixture.ledger.suspects.size(), maxSuspects);
+    cr_assert_leq(fixture.ledger.crashes.size(), maxCrashes);
+    fixture.now += suspicionRetention;
+    reviewLedger(fixture.ledger, fixture.now);
+    cr_assert(fixture.ledger.suspects.empty());
+    cr_assert(fixture.ledger.crashes.empty());
 }
 
 namespace {
 
-/// VMs of some zones before one service. Each request that breaks is told to all, by a datagram that takes some
-/// milliseconds or is lost; once a second each VM tells its suspects again to the VMs of its zone and some others.
-struct World {
-    struct Copy {
+/// Simulates VMs in front of one service. Crashes and completions are reported to all VMs by datagrams that take some
+/// milliseconds or are lost. Once a second each VM sends its suspects to eight VMs chosen at random.
+struct Simulation {
+    struct RunningRequest {
         RequestDigest digest;
         int vm;
         int endpoint;
         TimePoint begun;
         TimePoint ends;
-        bool again; ///< its caller has tried before
+        bool isRetry; ///< the caller has sent the request before
     };
-    struct Broken {
+    struct PendingRetry {
         RequestDigest digest;
         TimePoint sendAt;
     };
-    struct Told {
+    struct PendingUpdate {
         TimePoint at;
         int vm;
-        std::function<void(CrashLedger &, TimePoint)> news;
+        std::function<void(CrashLedger &, TimePoint)> apply;
     };
 
-    World(unsigned seed, int vmCount, int endpointCount)
+    Simulation(unsigned seed, int vmCount, int endpointCount)
         : random(seed),
           ledgers(static_cast<std::size_t>(vmCount)),
-          lives(static_cast<std::size_t>(endpointCount)),
-          backAt(static_cast<std::size_t>(endpointCount))
+          incarnations(static_cast<std::size_t>(endpointCount)),
+          restartedAt(static_cast<std::size_t>(endpointCount))
     {
     }
 
-    int below(int count)
+    int randomBelow(int count)
     {
         return std::uniform_int_distribution<int>(0, count - 1)(this->random);
     }
@@ -244,53 +246,53 @@
         return std::uniform_real_distribution<double>(0, 1)(this->random) < share;
     }
 
-    void tellAll(int from, const std::function<void(CrashLedger &, TimePoint)> &news)
+    void broadcast(int from, const std::function<void(CrashLedger &, TimePoint)> &apply)
     {
         for (int vm = 0; vm < static_cast<int>(this->ledgers.size()); ++vm) {
             if (vm == from) {
-                news(this->ledgers[static_cast<std::size_t>(vm)], this->now);
+                apply(this->ledgers[static_cast<std::size_t>(vm)], this->now);
             } else if (!this->chance(this->lossShare)) {
-                this->onTheirWay.push_back({this->now + milliseconds(1 + this->below(8)), vm, news});
+                this->inFlightUpdates.push_back({this->now + milliseconds(1 + this->randomBelow(8)), vm, apply});
             }
         }
     }
 
-    /// Sends a copy of a request from a VM to an endpoint that runs, unless it is proven there.
-    void send(RequestDigest digest, int vm, bool again = false)
+    /// Sends a request from a VM to a random endpoint, unless the VM holds the request as proven.
+    void send(RequestDigest digest, int vm, bool isRetry = false)
     {
         if (suspicionOf(this->ledgers[static_cast<std::size_t>(vm)], digest) == Suspicion::Proven) {
             this->refused[digest] += 1;
             return;
         }
-        const int endpoint = this->below(static_cast<int>(this->lives.size()));
-        if (this->now < this->backAt[static_cast<std::size_t>(endpoint)]) {
-            return; // refused by its port: not run
+        const int endpoint = this->randomBelow(static_cast<int>(this->incarnations.size()));
+        if (this->now < this->restartedAt[static_cast<std::size_t>(endpoint)]) {
+            return; // connection refused: the request is not run
         }
         const bool crashes = digest == poison;
-        const Duration length = milliseconds(crashes ? 60 : 200 + this->below(3000));
-        this->running.push_back({digest, vm, endpoint, this->now, this->now + length, again});
+        const Duration length = milliseconds(crashes ? 60 : 200 + this->randomBelow(3000));
+        this->running.push_back({digest, vm, endpoint, this->now, this->now + length, isRetry});
     }
 
     void crash(int endpoint)
     {
         const CrashKey key
-            = crashKeyOf("e" + std::to_string(endpoint), this->lives[static_cast<std::size_t>(endpoint)]);
-        this->lives[static_cast<std::size_t>(endpoint)] += 1;
-        this->backAt[static_cast<std::size_t>(endpoint)] = this->now + milliseconds(3000);
+            = crashKeyOf("e" + std::to_string(endpoint), this->incarnations[static_cast<std::size_t>(endpoint)]);
+        this->incarnations[static_cast<std::size_t>(endpoint)] += 1;
+        this->restartedAt[static_cast<std::size_t>(endpoint)] = this->now + milliseconds(3000);
         std::map<int, InProgress> byVm;
-        for (const Copy &copy : this->running) {
+        for (const RunningRequest &copy : this->running) {
             if (copy.endpoint == endpoint) {
                 InProgress &requests = byVm[copy.vm];
                 (this->now - copy.begun >= crashOnset ? requests.late : requests.early).push_back(copy.digest);
             }
-            if (copy.endpoint == endpoint && !copy.again && copy.digest != poison) {
-                this->broken.push_back({copy.digest, this->now + milliseconds(100 + this->below(500))});
+            if (copy.endpoint == endpoint && !copy.isRetry && copy.digest != poison) {
+                this->pendingRetries.push_back({copy.digest, this->now + milliseconds(100 + this->randomBelow(500))});
             }
         }
-        std::erase_if(this->running, [endpoint](const Copy &copy) { return copy.endpoint == endpoint; });
+        std::erase_if(this->running, [endpoint](const RunningRequest &copy) { return copy.endpoint == endpoint; });
         for (const auto &[vm, requests] : byVm) {
-            this->tellAll(vm, [key, requests = requests](CrashLedger &ledger, TimePoint at) {
-                noteCrash(ledger, key, "s", requests, at);
+            this->broadcast(vm, [key, requests = requests](CrashLedger &ledger, TimePoint at) {
+                recordCrash(ledger, key, "s", requests, at);
             });
         }
     }
@@ -298,59 +300,60 @@
     void step()
     {
         this->now += milliseconds(2);
-        std::vector<Copy> ended;
+        std::vector<RunningRequest> ended;
         std::copy_if(this->running.begin(), this->running.end(), std::back_inserter(ended),
-                     [this](const Copy &copy) { return copy.ends <= this->now; });
-        std::erase_if(this->running, [this](const Copy &copy) { return copy.ends <= this->now; });
-        for (const Copy &copy : ended) {
+                     [this](const RunningRequest &copy) { return copy.ends <= this->now; });
+        std::erase_if(this->running, [this](const RunningRequest &copy) { return copy.ends <= this->now; });
+        for (const RunningRequest &copy : ended) {
             if (copy.digest == poison) {
-                this->running.push_back(copy); // it is in progress as its endpoint ends
+                this->running.push_back(copy); // the request is in progress when its endpoint crashes
                 this->poisonCrashes += 1;
                 this->crash(copy.endpoint);
             } else if (noteCompletion(this->ledgers[static_cast<std::size_t>(copy.vm)], copy.digest)) {
-                this->tellAll(copy.vm, [digest = copy.digest](CrashLedger &ledger, TimePoint) {
+                this->broadcast(copy.vm, [digest = copy.digest](CrashLedger &ledger, TimePoint) {
                     noteCompletion(ledger, digest);
                 });
             }
         }
-        for (const Told &told : this->onTheirWay) {
-            if (told.at <= this->now) {
-                told.news(this->ledgers[static_cast<std::size_t>(told.vm)], this->now);
+        for (const PendingUpdate &update : this->inFlightUpdates) {
+            if (update.at <= this->now) {
+                update.apply(this->ledgers[static_cast<std::size_t>(update.vm)], this->now);
             }
         }
-        std::erase_if(this->onTheirWay, [this](const Told &told) { return told.at <= this->now; });
+        std::erase_if(this->inFlightUpdates, [this](const PendingUpdate &update) { return update.at <= this->now; });
         for (CrashLedger &ledger : this->ledgers) {
-            if (hasUnsettled(ledger, this->now - milliseconds(10))) {
+            if (hasUnsettledCrash(ledger, this->now - milliseconds(10))) {
                 reviewLedger(ledger, this->now);
             }
         }
-        for (const Broken &request : std::exchange(this->broken, {})) {
+        for (const PendingRetry &request : std::exchange(this->pendingRetries, {})) {
             if (request.sendAt > this->now) {
-                this->broken.push_back(request);
+                this->pendingRetries.push_back(request);
             } else {
-                this->send(request.digest, this->below(static_cast<int>(this->ledgers.size())), true);
+                this->send(request.digest, this->randomBelow(static_cast<int>(this->ledgers.size())), true);
             }
         }
         if (toMilliseconds(this->now - start) % 1000 == 0) {
-            this->repeatNews();
+            this->sendPeriodicUpdates();
         }
     }
 
-    void repeatNews()
+    void sendPeriodicUpdates()
     {
         for (int vm = 0; vm < static_cast<int>(this->ledgers.size()); ++vm) {
             const auto statements
-                = statementsOf(this->ledgers[static_cast<std::size_t>(vm)], this->random(), 4, this->now);
+                = selectStatements(this->ledgers[static_cast<std::size_t>(vm)], this->random(), 4, this->now);
             for (int times = 0; times < 8; ++times) {
-                const int to = this->below(static_cast<int>(this->ledgers.size()));
+                const int to = this->randomBelow(static_cast<int>(this->ledgers.size()));
                 for (const SuspectStatement &statement : statements) {
-                    noteStatement(this->ledgers[static_cast<std::size_t>(to)], statement, this->now);
+                    applyStatement(this->ledgers[static_cast<std::size_t>(to)], statement, this->now);
                 }
             }
         }
     }
 
-    /// Lets sound requests come, some of them several times at once, and the poison in some of the steps.
+    /// Runs the simulation. In each step a sound request, some of them with several copies, and the poison request
+    /// arrive with the given probabilities.
     void run(Duration length, double soundShare, double poisonShare, int copies)
     {
         const TimePoint end = this->now + length;
@@ -360,16 +363,16 @@
                 const RequestDigest digest = this->nextSound++;
                 const int times = this->chance(0.3) ? copies : 1;
                 for (int copy = 0; copy < times; ++copy) {
-                    this->send(digest, this->below(static_cast<int>(this->ledgers.size())));
+                    this->send(digest, this->randomBelow(static_cast<int>(this->ledgers.size())));
                 }
             }
             if (this->chance(poisonShare)) {
-                this->send(poison, this->below(static_cast<int>(this->ledgers.size())));
+                this->send(poison, this->randomBelow(static_cast<int>(this->ledgers.size())));
             }
         }
     }
 
-    /// Requests other than the poison that were refused at some VM.
+    /// @return number of sound requests that a VM refused
     std::size_t soundRefused() const
     {
         return this->refused.size() - this->refused.count(poison);
@@ -379,11 +382,11 @@
     TimePoint now = start;
     double lossShare = 0.03;
     std::vector<CrashLedger> ledgers;
-    std::vector<std::int64_t> lives;
-    std::vector<TimePoint> backAt;
-    std::vector<Copy> running;
-    std::vector<Told> onTheirWay;
-    std::vector<Broken> broken;
+    std::vector<std::int64_t> incarnations;
+    std::vector<TimePoint> restartedAt;
+    std::vector<RunningRequest> running;
+    std::vector<PendingUpdate> inFlightUpdates;
+    std::vector<PendingRetry> pendingRetries;
     std::map<RequestDigest, int> refused;
     RequestDigest nextSound = 1000;
     int poisonCrashes = 0;
@@ -393,46 +396,49 @@
 
 } // namespace
 
-// The stated aim: three crashes prove it, and at most three more follow.
-Test(crashledger, poisonIsStoppedAtAllVmsAndNothingElse)
+// Three crashes prove the poison request. At most three more endpoints crash before all VMs refuse it.
+Test(crashledger, onlyThePoisonRequestIsRefusedAtAllVms)
 {
     for (const auto &[vmCount, endpointCount, rate] : {std::tuple {6, 9, 0.2}, std::tuple {60, 60, 0.6}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
-            World world(seed, vmCount, endpointCount);
-            world.run(milliseconds(2000), rate, 0, 4);
-            world.run(milliseconds(15000), rate, 0.003, 4); // a copy each 0.7 s
-            cr_assert_leq(world.poisonCrashes, 6, "seed %u of %d VMs: %d crashes", seed, vmCount, world.poisonCrashes);
-            cr_assert_geq(world.poisonCrashes, 3);
-            cr_assert_eq(world.soundRefused(), 0U, "seed %u of %d VMs: %zu sound requests refused", seed, vmCount,
-                         world.soundRefused());
+            Simulation simulation(seed, vmCount, endpointCount);
+            simulation.run(milliseconds(2000), rate, 0, 4);
+            simulation.run(milliseconds(15000), rate, 0.003, 4); // a copy each 0.7 s
+            cr_assert_leq(simulation.poisonCrashes, 6, "seed %u of %d VMs: %d crashes", seed, vmCount,
+                          simulation.poisonCrashes);
+            cr_assert_geq(simulation.poisonCrashes, 3);
+            cr_assert_eq(simulation.soundRefused(), 0U, "seed %u of %d VMs: %zu sound requests refused", seed, vmCount,
+                         simulation.soundRefused());
         }
     }
 }
 
-Test(crashledger, endpointsThatCrashByThemselvesProveNothing)
+Test(crashledger, simultaneousUnrelatedCrashesProveNothing)
 {
     for (unsigned seed = 0; seed < seeds; ++seed) {
-        World world(seed, 30, 60);
+        Simulation simulation(seed, 30, 60);
         for (int times = 0; times < 6; ++times) {
-            world.run(milliseconds(1500), 0.6, 0, 4);
+            simulation.run(milliseconds(1500), 0.6, 0, 4);
             for (int endpoint = 0; endpoint < 60; ++endpoint) {
-                if (world.chance(0.33)) {
-                    world.crash(endpoint);
+                if (simulation.chance(0.33)) {
+                    simulation.crash(endpoint);
                 }
             }
         }
-        cr_assert_eq(world.soundRefused(), 0U, "seed %u: %zu sound requests refused", seed, world.soundRefused());
+        cr_assert_eq(simulation.soundRefused(), 0U, "seed %u: %zu sound requests refused", seed,
+                     simulation.soundRefused());
     }
 }
 
-Test(crashledger, endpointsThatComeAndGoByTurnsProveNothing)
+Test(crashledger, successiveUnrelatedCrashesProveNothing)
 {
     for (unsigned seed = 0; seed < seeds; ++seed) {
-        World world(seed, 30, 60);
+        Simulation simulation(seed, 30, 60);
         for (int times = 0; times < 60; ++times) {
-            world.run(milliseconds(200), 0.6, 0, 4);
-            world.crash(world.below(60));
+            simulation.run(milliseconds(200), 0.6, 0, 4);
+            simulation.crash(simulation.randomBelow(60));
         }
-        cr_assert_eq(world.soundRefused(), 0U, "seed %u: %zu sound requests refused", seed, world.soundRefused());
+        cr_assert_eq(simulation.soundRefused(), 0U, "seed %u: %zu sound requests refused", seed,
+                     simulation.soundRefused());
     }
 }
--- a/lacewing/testing/handlerguardtest.cpp
+++ b/lacewing/testing/handlerguardtest.cpp
@@ -1,5 +1,5 @@
-// An exception in a handler of the event loop used to end the process with all its requests, or, in a call on the
-// platform, to vanish without a line. Now it ends what the handler was about, and no more.
+// Guards against an exception in an event-loop handler that ends the process with all its requests, or that is lost
+// without a log line when it is thrown in a call to the platform. It must end only the work of that handler.
 
 #include "handlerguard.h"
 
@@ -14,7 +14,7 @@
 using namespace lacewing;
 using namespace lacewing::testing;
 
-Test(handlerguard, aFailureIsCountedAndDoesNotGoOn)
+Test(handlerguard, aFailureIsCountedAndNotPropagated)
 {
     cr_assert(runGuarded("test", [] {}));
     cr_assert_eq(handlerFailures().total, 0);
@@ -28,21 +28,21 @@
 {
     HandlerFailures failures;
     TimePoint now {milliseconds(1)};
-    for (std::int64_t count = 0; count < 10 * mostFailuresInSeries; ++count) {
-        now += failureMemory;
-        noteFailure(failures, now);
+    for (std::int64_t count = 0; count < 10 * maxFailuresInSeries; ++count) {
+        now += failureSeriesGap;
+        recordFailure(failures, now);
         cr_assert_not(isFailingInSeries(failures));
     }
-    for (std::int64_t count = 1; count < mostFailuresInSeries; ++count) {
-        now += failureMemory / 2;
-        noteFailure(failures, now);
+    for (std::int64_t count = 1; count < maxFailuresInSeries; ++count) {
+        now += failureSeriesGap / 2;
+        recordFailure(failures, now);
         cr_assert_not(isFailingInSeries(failures));
     }
-    noteFailure(failures, now);
+    recordFailure(failures, now);
     cr_assert(isFailingInSeries(failures));
 }
 
-Test(handlerguard, anOwnerWhoseOrderFailsGivesItsZoneToAnotherVm)
+Test(handlerguard, anOwnerWhoseOrderThrowsReleasesItsZone)
 {
     asio::io_context context;
     FakePlatform platform;
@@ -50,7 +50,9 @@
     PlatformPort port = platform.port("vm1");
     port.report = [&context](const EndpointName &, const std::string &,
                              const std::function<void(std::optional<EndpointReport>)> &done) {
-        asio::post(context, [done] { done(EndpointReport {}); }); // an empty endpoint, to be ordered to load the model
+        asio::post(context, [done] {
+            done(EndpointReport {});
+        }); // without weights, so that the owner orders it to load the model
     };
     port.order = [](const PlacementOrder &, const std::string &, std::int64_t, const auto &) {
         throw std::runtime_error("broken");
@@ -65,7 +67,7 @@
         context.run_one_for(std::chrono::milliseconds(20));
     }
     cr_assert_eq(handlerFailures().total, 1);
-    // It claims the zone again, as nobody else does.
+    // The VM claims the zone again, as no other VM does.
     while (platform.claims.size() < 2 && std::chrono::steady_clock::now() < end) {
         context.run_one_for(std::chrono::milliseconds(20));
     }
--- a/lacewing/testing/routeconfigtest.cpp
+++ b/lacewing/testing/routeconfigtest.cpp
@@ -1,4 +1,4 @@
-// Which route a request takes, held against a naive search, and how traffic is split between services.
+// Route lookup, compared with a naive search, and the weighted split of traffic between services.
 
 #include <criterion/criterion.h>
 
