--- a/lacewing/adapterplan.cpp
+++ b/lacewing/adapterplan.cpp
@@ -306,7 +306,7 @@
         }
         bool remembered = false;
         for (const auto &[id, endpoint] : this->state.endpoints) {
-            if (!endpoint.ready || findRemembered(endpoint.heldBefore, want.weights, version) == nullptr) {
+            if (!endpoint.ready || findRemembered(endpoint.rememberedAdapters, want.weights, version) == nullptr) {
                 continue;
             }
             if (this->isAvailable(id, endpoint) && this->hasRoom(id, endpoint)) {
@@ -348,7 +348,7 @@
                 continue;
             }
             double cost = shareInUse(endpoint, places);
-            cost += findRemembered(endpoint.heldBefore, want.weights, version) == nullptr ? fetchCost : 0;
+            cost += findRemembered(endpoint.rememberedAdapters, want.weights, version) == nullptr ? fetchCost : 0;
             if (best == nullptr || cost < bestCost) {
                 best = &endpoint;
                 bestId = id;
--- a/lacewing/adapterplan.h
+++ b/lacewing/adapterplan.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "adapterversions.h"
-#include "heldbefore.h"
+#include "rememberedadapters.h"
 #include "routeconfig.h"
 #include "types.h"
 
@@ -74,7 +74,8 @@
     std::int64_t orders = 0; ///< number of orders accepted; sent as expectedOrders of the next order
     std::map<std::string, PlacedAdapter> held; ///< resident weights: MODEL or MODEL/ADAPTER
     std::map<std::string, LoadingAdapter> loading;
-    HeldBefore heldBefore; ///< unloaded adapters that are still in host memory, from where loads are fast
+    RememberedAdapters
+        rememberedAdapters; ///< unloaded adapters that are still in host memory, from where loads are fast
     TimePoint notBefore; ///< time before which no order is sent
     std::int32_t running = 0;
 };
--- a/lacewing/adapterversions.cpp
+++ b/lacewing/adapterversions.cpp
@@ -6,15 +6,15 @@
 
 namespace lacewing {
 
-Duration oldVersionGrace(Duration allowed, Duration longestStart)
+Duration oldVersionGrace(Duration allowed, Duration maxStartDelay)
 {
-    if (longestStart.count() <= 0) {
+    if (maxStartDelay.count() <= 0) {
         return Duration {0};
     }
-    return std::clamp(allowed - longestStart - versionReadTime, Duration {0}, maxGrace);
+    return std::clamp(allowed - maxStartDelay - versionReadTime, Duration {0}, maxGrace);
 }
 
-bool nameVersion(AdapterVersions &versions, std::string_view weights, std::int32_t version, TimePoint since)
+bool recordVersion(AdapterVersions &versions, std::string_view weights, std::int32_t version, TimePoint since)
 {
     PublishedVersion &published = versions[std::string(weights)];
     if (version <= published.version) {
--- a/lacewing/adapterversions.h
+++ b/lacewing/adapterversions.h
@@ -25,9 +25,9 @@
 constexpr Duration maxGrace = milliseconds(2500);
 
 /// @param allowed time after the acknowledgement of a version in which requests may start on an older version
-/// @param longestStart maximum time from sending a request to its start; 0: not bounded
+/// @param maxStartDelay maximum time from sending a request to its start; 0: not bounded
 /// @return how long after learning of a new version requests may still be sent to the old version
-Duration oldVersionGrace(Duration allowed, Duration longestStart);
+Duration oldVersionGrace(Duration allowed, Duration maxStartDelay);
 
 struct PublishedVersion {
     std::int32_t version = 0;
@@ -40,7 +40,7 @@
 /// @param weights MODEL/ADAPTER
 /// @param since when this VM learned of the version; zero: not known
 /// @return whether the version is newer than the known one
-bool nameVersion(AdapterVersions &versions, std::string_view weights, std::int32_t version, TimePoint since);
+bool recordVersion(AdapterVersions &versions, std::string_view weights, std::int32_t version, TimePoint since);
 
 /// @param weights MODEL/ADAPTER
 /// @return the newest published version, 0 if there is none
--- a/lacewing/calleranswer.cpp
+++ b/lacewing/calleranswer.cpp
@@ -348,7 +348,7 @@
         }
         self->watching = false;
         // Readable without being closed: the next request is waiting already.
-        if (closedByOther(self->stream.socket())) {
+        if (closedByPeer(self->stream.socket())) {
             self->gone = true;
             self->wakeTimer.cancel();
         }
--- a/lacewing/callerconnection.cpp
+++ b/lacewing/callerconnection.cpp
@@ -121,10 +121,10 @@
     this->cancelTimer();
     this->requestInProgress = true;
     const auto self = this->shared_from_this();
-    this->handlers.onUnreadable(status);
+    this->handlers.onMalformedRequest(status);
 }
 
-void CallerConnection::beginAnswer(const HttpAnswerHead &head, BodyFraming bodyFraming, bool keepAlive)
+void CallerConnection::beginAnswer(const HttpResponseHead &head, BodyFraming bodyFraming, bool keepAlive)
 {
     this->framing = bodyFraming;
     this->closeAfterAnswer = !keepAlive || bodyFraming == BodyFraming::Close || this->closing;
@@ -290,7 +290,7 @@
         return;
     }
     if (!this->reader->started()) {
-        if (hasUnread(this->socket)) {
+        if (hasUnreadData(this->socket)) {
             this->armTimer(this->idleTimeout);
             return;
         }
@@ -300,7 +300,7 @@
     }
     this->requestInProgress = true;
     const auto self = this->shared_from_this();
-    this->handlers.onUnreadable(requestTimeout);
+    this->handlers.onMalformedRequest(requestTimeout);
 }
 
 } // namespace lacewing
--- a/lacewing/callerconnection.h
+++ b/lacewing/callerconnection.h
@@ -3,7 +3,7 @@
 // The connection is also read while a request is in progress, so that a disconnect of the caller is detected at once.
 // Pipelined requests wait in the input buffer.
 //
-//   connection->start({onRequest, onUnreadable, onClosed});
+//   connection->start({onRequest, onMalformedRequest, onClosed});
 //   connection->beginAnswer(head, BodyFraming::Chunked, true);   // after onRequest
 //   connection->writeBody(bytes);
 //   connection->finishAnswer();
@@ -32,7 +32,7 @@
         /// A complete request was read; to be answered with beginAnswer(), writeBody() and finishAnswer().
         std::function<void(HttpRequestHead, std::string body)> onRequest;
         /// A request is malformed, too large or incomplete at its timeout; status is the HTTP status of the answer.
-        std::function<void(int status)> onUnreadable;
+        std::function<void(int status)> onMalformedRequest;
         /// The connection has ended; no other handler is called afterwards.
         std::function<void()> onClosed;
     };
@@ -49,7 +49,7 @@
     /// @param head head without framing headers
     /// @param framing framing of the body
     /// @param keepAlive whether more requests may follow
-    void beginAnswer(const HttpAnswerHead &head, BodyFraming framing, bool keepAlive);
+    void beginAnswer(const HttpResponseHead &head, BodyFraming framing, bool keepAlive);
     /// @param bytes next part of the body
     void writeBody(std::string_view bytes);
     /// Completes the answer and reads the next request.
--- a/lacewing/callersession.cpp
+++ b/lacewing/callersession.cpp
@@ -107,7 +107,7 @@
         this->startReadTimer(this->face.idleLimit());
         size = co_await this->stream.async_read_some(space, awaitInto(this->error));
         this->stopReadTimer();
-    } while (this->error && this->timedOut && hasUnread(this->stream.socket()));
+    } while (this->error && this->timedOut && hasUnreadData(this->stream.socket()));
     this->buffer.commit(size);
     this->idle = false;
     if (this->error && this->timedOut) {
--- a/lacewing/crashledger.cpp
+++ b/lacewing/crashledger.cpp
@@ -244,7 +244,7 @@
     return true;
 }
 
-bool noteCompletion(CrashLedger &ledger, RequestDigest digest)
+bool recordCompletion(CrashLedger &ledger, RequestDigest digest)
 {
     const auto found = ledger.suspects.find(digest);
     if (found == ledger.suspects.end()) {
@@ -326,7 +326,7 @@
     return any ? Suspicion::Suspected : Suspicion::None;
 }
 
-void noteRefusal(CrashLedger &ledger, RequestDigest digest, TimePoint now)
+void recordRefusal(CrashLedger &ledger, RequestDigest digest, TimePoint now)
 {
     const auto found = ledger.suspects.find(digest);
     if (found != ledger.suspects.end()) {
--- a/lacewing/crashledger.h
+++ b/lacewing/crashledger.h
@@ -9,7 +9,7 @@
 // Requests that were in progress at a crashed endpoint by chance are protected by these rules:
 //
 // - A request that crashes endpoints does so soon after its start. Crashes of endpoints that had been answering the
-//   request for longer than crashOnset count only towards crashesToProveAlone.
+//   request for longer than earlyCrashWindow count only towards crashesToProveAlone.
 // - A complete answer to a request clears all earlier crashes of that request.
 // - If another request of the same crash has at least as many crashes, neither is proven until one of them has more,
 //   or has crashesToProveAlone.
@@ -41,7 +41,7 @@
 /// A request with this many crashes is no longer sent to any endpoint.
 constexpr std::size_t crashesToProve = 3;
 /// An endpoint that has been answering for this long is past the start of the request.
-constexpr Duration crashOnset = milliseconds(1000);
+constexpr Duration earlyCrashWindow = milliseconds(1000);
 /// Crashes that prove a request regardless of other requests in progress and of how long it had been answered.
 constexpr std::size_t crashesToProveAlone = 6;
 /// All VMs have reported their requests of a crash after this time.
@@ -68,14 +68,14 @@
 struct ChargedCrash {
     CrashKey key = 0;
     TimePoint firstReported;
-    bool late = false; ///< the request had been answered for longer than crashOnset
+    bool late = false; ///< the request had been answered for longer than earlyCrashWindow
     bool cleared = false; ///< no longer counts; kept so that a delayed update does not add the crash again
 };
 
 /// Requests that were in progress at an endpoint.
 struct InProgress {
-    std::vector<RequestDigest> early; ///< had not been answered yet, or for at most crashOnset
-    std::vector<RequestDigest> late; ///< had been answered for longer than crashOnset
+    std::vector<RequestDigest> early; ///< had not been answered yet, or for at most earlyCrashWindow
+    std::vector<RequestDigest> late; ///< had been answered for longer than earlyCrashWindow
 };
 
 /// A request that was in progress at endpoints that crashed.
@@ -132,7 +132,7 @@
 /// @param ledger changed
 /// @param digest of the request
 /// @return whether crashes counted against the request, so that the other VMs need the completion
-bool noteCompletion(CrashLedger &ledger, RequestDigest digest);
+bool recordCompletion(CrashLedger &ledger, RequestDigest digest);
 
 /// Merges another VM's state of a suspect into the ledger.
 /// @param ledger changed
@@ -160,7 +160,7 @@
 /// @param ledger changed
 /// @param digest of the request
 /// @param now current time
-void noteRefusal(CrashLedger &ledger, RequestDigest digest, TimePoint now);
+void recordRefusal(CrashLedger &ledger, RequestDigest digest, TimePoint now);
 
 /// @param ledger of this VM
 /// @param round a number that increases with each call
--- a/lacewing/crashwatch.cpp
+++ b/lacewing/crashwatch.cpp
@@ -64,7 +64,7 @@
 {
 }
 
-void CrashWatch::noteBroken(const EndpointIncarnation &incarnation, RequestDigest digest, bool late)
+void CrashWatch::recordBrokenConnection(const EndpointIncarnation &incarnation, RequestDigest digest, bool late)
 {
     const CrashKey key = crashKeyOf(incarnation.endpoint, incarnation.born);
     if (firstReportTime(this->ledger, key)) {
@@ -206,14 +206,14 @@
 
 void CrashWatch::broadcast(const wire::CrashNews &update) const
 {
-    if (this->onNews) {
-        this->onNews(update);
+    if (this->onUpdate) {
+        this->onUpdate(update);
     }
 }
 
-void CrashWatch::noteCompletion(RequestDigest digest)
+void CrashWatch::recordCompletion(RequestDigest digest)
 {
-    if (!lacewing::noteCompletion(this->ledger, digest)) {
+    if (!lacewing::recordCompletion(this->ledger, digest)) {
         return;
     }
     if (this->unsentCompletions.size() >= maxUnsent) {
@@ -244,7 +244,7 @@
     }
 }
 
-void CrashWatch::noteAnswer(const EndpointName &endpoint, std::int64_t born, TimePoint sentAt)
+void CrashWatch::recordAnswer(const EndpointName &endpoint, std::int64_t born, TimePoint sentAt)
 {
     if (this->ledger.crashes.empty()) {
         return;
@@ -269,7 +269,7 @@
     }
 }
 
-void CrashWatch::noteListed(const EndpointEntry &entry)
+void CrashWatch::recordListedEntry(const EndpointEntry &entry)
 {
     std::vector<CrashKey> ended;
     for (const auto &[key, crash] : this->unconfirmed) {
@@ -283,9 +283,9 @@
     }
 }
 
-void CrashWatch::noteRefusal(RequestDigest digest)
+void CrashWatch::recordRefusal(RequestDigest digest)
 {
-    lacewing::noteRefusal(this->ledger, digest, this->clock.now());
+    lacewing::recordRefusal(this->ledger, digest, this->clock.now());
 }
 
 Suspicion CrashWatch::suspicionOf(RequestDigest digest) const
@@ -304,7 +304,7 @@
         this->confirm(key, "told");
     }
     for (const std::int64_t digest : update.completed) {
-        lacewing::noteCompletion(this->ledger, fromWire(digest));
+        lacewing::recordCompletion(this->ledger, fromWire(digest));
     }
     for (const std::int64_t key : update.refuted) {
         this->refute(fromWire(key));
@@ -318,7 +318,7 @@
     }
 }
 
-wire::CrashNews CrashWatch::repeatedNews()
+wire::CrashNews CrashWatch::periodicUpdate()
 {
     wire::CrashNews update;
     for (const SuspectStatement &statement :
--- a/lacewing/crashwatch.h
+++ b/lacewing/crashwatch.h
@@ -1,7 +1,7 @@
 // Detects endpoints that crash while requests of this VM are in progress, and exchanges the crashes with other VMs.
 //
 //   CrashWatch watch(context, clock);
-//   watch.noteBroken(incarnation, digest, late);  // a connection broke while a request was in progress
+//   watch.recordBrokenConnection(incarnation, digest, late);  // a connection broke while a request was in progress
 //   watch.suspicionOf(digest);                    // before a request is sent
 //   watch.take(update);                           // from another VM
 //
@@ -54,22 +54,22 @@
     /// Records a connection that broke while a request was in progress.
     /// @param incarnation to which the request was sent
     /// @param digest of the request
-    /// @param late whether the request had been answered for longer than crashOnset
-    void noteBroken(const EndpointIncarnation &incarnation, RequestDigest digest, bool late);
+    /// @param late whether the request had been answered for longer than earlyCrashWindow
+    void recordBrokenConnection(const EndpointIncarnation &incarnation, RequestDigest digest, bool late);
     /// Records that an endpoint answered a request completely.
     /// @param digest of the request
-    void noteCompletion(RequestDigest digest);
+    void recordCompletion(RequestDigest digest);
     /// Records that an endpoint started to answer a request.
     /// @param endpoint its id
     /// @param born start of its incarnation
     /// @param sentAt when the request was sent
-    void noteAnswer(const EndpointName &endpoint, std::int64_t born, TimePoint sentAt);
+    void recordAnswer(const EndpointName &endpoint, std::int64_t born, TimePoint sentAt);
     /// Records an entry of the platform's list, which may show a newer incarnation.
     /// @param entry as listed
-    void noteListed(const EndpointEntry &entry);
+    void recordListedEntry(const EndpointEntry &entry);
     /// Records that a request was refused because it is proven to crash endpoints.
     /// @param digest of the request
-    void noteRefusal(RequestDigest digest);
+    void recordRefusal(RequestDigest digest);
 
     /// @param digest of a request
     /// @return whether the request is suspected or proven to crash endpoints
@@ -79,12 +79,12 @@
     void take(const wire::CrashNews &update);
     /// @return suspects to repeat to other VMs, for those that missed earlier updates or have started since; empty if
     /// there are none
-    wire::CrashNews repeatedNews();
+    wire::CrashNews periodicUpdate();
 
     CrashCounters counts;
 
     /// Called with each update for the other VMs.
-    std::function<void(const wire::CrashNews &)> onNews;
+    std::function<void(const wire::CrashNews &)> onUpdate;
     /// Called when requests are newly proven to crash endpoints.
     std::function<void()> onProven;
 
--- a/lacewing/demand.cpp
+++ b/lacewing/demand.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-void noteDemand(OwnerState &owner, const AdapterVersion &adapter, TimePoint now)
+void recordDemand(OwnerState &owner, const AdapterVersion &adapter, TimePoint now)
 {
     if (adapter.adapter.empty()) {
         return;
--- a/lacewing/demand.h
+++ b/lacewing/demand.h
@@ -11,7 +11,7 @@
 /// @param owner the counts, changed
 /// @param adapter what was asked for
 /// @param now time
-void noteDemand(OwnerState &owner, const AdapterVersion &adapter, TimePoint now);
+void recordDemand(OwnerState &owner, const AdapterVersion &adapter, TimePoint now);
 
 /// @param owner the counts
 /// @param adapter an adapter version
--- a/lacewing/endpointchoice.cpp
+++ b/lacewing/endpointchoice.cpp
@@ -60,14 +60,14 @@
 double requestsAtRisk(const FleetEndpoint &endpoint)
 {
     constexpr double crashSuspectWeight = 1e6;
-    return estimateRunning(endpoint) + crashSuspectWeight * endpoint.ownSuspects;
+    return estimateRunning(endpoint) + crashSuspectWeight * endpoint.ownCrashSuspects;
 }
 
 /// Checks whether an endpoint that has stated a request limit accepts another request from this VM.
 class LimitCheck
 {
 public:
-    LimitCheck(const Fleet &endpoints, const EndpointNeed &requirements, TimePoint time)
+    LimitCheck(const Fleet &endpoints, const EndpointRequirements &requirements, TimePoint time)
         : fleet(endpoints), need(requirements), now(time)
     {
     }
@@ -78,7 +78,7 @@
             return true;
         }
         if (!this->zoneServed) {
-            this->zoneServed = hasEndpointIn(this->fleet, this->need.service, this->need.zone);
+            this->zoneServed = hasEndpointInZone(this->fleet, this->need.service, this->need.zone);
         }
         const bool allowed = maySendToLimited(endpoint.entry.zone, this->need.zone, *this->zoneServed);
         if (allowed && hasRoom(endpoint.limit, this->now)) {
@@ -97,14 +97,14 @@
 
 private:
     const Fleet &fleet;
-    const EndpointNeed &need;
+    const EndpointRequirements &need;
     TimePoint now;
     std::optional<bool> zoneServed; ///< whether this VM's zone has endpoints of the service
 };
 
 } // namespace
 
-EndpointChoice chooseEndpoint(const Fleet &fleet, const EndpointNeed &need, TimePoint now)
+EndpointChoice chooseEndpoint(const Fleet &fleet, const EndpointRequirements &need, TimePoint now)
 {
     Candidate best;
     bool anyEndpoint = false;
@@ -152,7 +152,7 @@
         choice = {ChoiceResult::Chosen, best.endpoint->entry.id, best.version};
     } else if (anyEndpoint && limitCheck.anyAtLimit) {
         choice.result = need.weights.empty() ? ChoiceResult::Limited : ChoiceResult::AllFull;
-        choice.untilRoom = limitCheck.soonestCapacity;
+        choice.untilCapacity = limitCheck.soonestCapacity;
     } else if (anyEndpoint) {
         choice.result = anyFull ? ChoiceResult::AllFull : ChoiceResult::NotHeld;
     }
--- a/lacewing/endpointchoice.h
+++ b/lacewing/endpointchoice.h
@@ -25,7 +25,7 @@
 constexpr Duration fullEndpointBacklog = milliseconds(500);
 
 /// What a request needs from an endpoint.
-struct EndpointNeed {
+struct EndpointRequirements {
     ServiceName service;
     std::string weights; ///< model or MODEL/ADAPTER; empty for a plain service
     std::int32_t oldestVersion = 0; ///< minimum version of the adapter
@@ -48,7 +48,7 @@
     ChoiceResult result = ChoiceResult::NoEndpoint;
     EndpointName endpoint;
     std::int32_t version = 0; ///< version of the adapter that the endpoint holds
-    Duration untilRoom {0}; ///< until an endpoint at its limit accepts another request; 0: unknown
+    Duration untilCapacity {0}; ///< until an endpoint at its limit accepts another request; 0: unknown
 };
 
 /// @param fleet all endpoints
@@ -56,6 +56,6 @@
 /// @param now current time
 /// @return an endpoint, or why there is none. An ejected endpoint is selected only if there is no other candidate; a
 /// shunned one only for a plain service, also only if there is no other
-EndpointChoice chooseEndpoint(const Fleet &fleet, const EndpointNeed &need, TimePoint now);
+EndpointChoice chooseEndpoint(const Fleet &fleet, const EndpointRequirements &need, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/endpointhealth.cpp
+++ b/lacewing/endpointhealth.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-void noteEndpointFailure(OwnedEndpoint &owned, std::string_view name, bool eject, TimePoint now)
+void recordEndpointFailure(OwnedEndpoint &owned, std::string_view name, bool eject, TimePoint now)
 {
     ++owned.failures;
     if (eject || owned.failures >= failuresToEject) {
@@ -48,7 +48,7 @@
         owned.healthy = true;
         owned.failures = 0;
     } else if (!probe.leaving) {
-        noteEndpointFailure(owned, probe.endpoint, true, now);
+        recordEndpointFailure(owned, probe.endpoint, true, now);
     }
 }
 
--- a/lacewing/endpointhealth.h
+++ b/lacewing/endpointhealth.h
@@ -17,7 +17,7 @@
 /// @param name its name, from which the jitter of the probes is made
 /// @param eject whether this failure alone is enough
 /// @param now time
-void noteEndpointFailure(OwnedEndpoint &owned, std::string_view name, bool eject, TimePoint now);
+void recordEndpointFailure(OwnedEndpoint &owned, std::string_view name, bool eject, TimePoint now);
 
 /// Takes in the answer of a probe.
 /// @param owned the endpoint, changed
--- a/lacewing/endpointlimit.cpp
+++ b/lacewing/endpointlimit.cpp
@@ -41,7 +41,7 @@
     return limit.rate > 0;
 }
 
-bool noteLimit(EndpointLimit &limit, double rate, TimePoint at, TimePoint now)
+bool recordLimit(EndpointLimit &limit, double rate, TimePoint at, TimePoint now)
 {
     const bool outdated = at < limit.endedAt || at + limitReorderWindow < limit.lastNamed;
     const bool orderUnknown = std::chrono::abs(at - limit.lastNamed) < limitReorderWindow;
@@ -63,7 +63,7 @@
     return true;
 }
 
-bool noteNoLimit(EndpointLimit &limit, TimePoint at)
+bool recordNoLimit(EndpointLimit &limit, TimePoint at)
 {
     if (!isLimited(limit) || at < limit.lastNamed + limitReorderWindow) {
         return false;
@@ -73,7 +73,7 @@
     return true;
 }
 
-void takeRoom(EndpointLimit &limit, double requests, TimePoint now)
+void takeTokens(EndpointLimit &limit, double requests, TimePoint now)
 {
     refill(limit, now);
     const double minTokens = -limit.rate * std::chrono::duration<double>(maxDebtTime).count() - 1;
@@ -94,7 +94,7 @@
     return std::chrono::ceil<Duration>(std::chrono::duration<double>(missing / limit.rate));
 }
 
-bool shouldTell(const EndpointLimit &limit, TimePoint now)
+bool shouldAnnounceLimit(const EndpointLimit &limit, TimePoint now)
 {
     return now - limit.told >= limitAnnounceInterval;
 }
--- a/lacewing/endpointlimit.h
+++ b/lacewing/endpointlimit.h
@@ -54,19 +54,19 @@
 /// @param at when the answer arrived at this VM or another one
 /// @param now current time
 /// @return whether the limit changed
-bool noteLimit(EndpointLimit &limit, double rate, TimePoint at, TimePoint now);
+bool recordLimit(EndpointLimit &limit, double rate, TimePoint at, TimePoint now);
 
 /// Records an answer that states no limit.
 /// @param limit updated
 /// @param at when the answer arrived
 /// @return whether this ended a limit
-bool noteNoLimit(EndpointLimit &limit, TimePoint at);
+bool recordNoLimit(EndpointLimit &limit, TimePoint at);
 
 /// Takes tokens for requests that this VM or another one sends.
 /// @param limit updated
 /// @param requests number of requests sent
 /// @param now current time
-void takeRoom(EndpointLimit &limit, double requests, TimePoint now);
+void takeTokens(EndpointLimit &limit, double requests, TimePoint now);
 
 /// @param limit of an endpoint
 /// @param now current time
@@ -81,6 +81,6 @@
 /// @param limit of an endpoint
 /// @param now current time
 /// @return whether this VM, which has just received an answer with the limit, announces it to the other VMs
-bool shouldTell(const EndpointLimit &limit, TimePoint now);
+bool shouldAnnounceLimit(const EndpointLimit &limit, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/endpointlink.cpp
+++ b/lacewing/endpointlink.cpp
@@ -41,7 +41,7 @@
     this->request = std::move(bytes);
     this->headRequest = isHead;
     this->handlers = std::move(callbacks);
-    this->reader = std::make_unique<AnswerReader>(isHead);
+    this->reader = std::make_unique<ResponseReader>(isHead);
     this->written = false;
     this->exchangeCount += 1;
     this->onIdleClosed = nullptr;
@@ -162,7 +162,7 @@
     }
     const int status = this->reader->head.status;
     if (status >= 100 && status < 200 && status != 101 && this->reader->complete()) {
-        this->reader = std::make_unique<AnswerReader>(this->headRequest);
+        this->reader = std::make_unique<ResponseReader>(this->headRequest);
         this->parseInput();
         return;
     }
@@ -183,7 +183,7 @@
 void EndpointLink::skipAnswer()
 {
     this->unexpectedInput = false; // the bytes that follow may be the expected answer
-    this->reader = std::make_unique<AnswerReader>(this->headRequest);
+    this->reader = std::make_unique<ResponseReader>(this->headRequest);
     if (this->input.empty()) {
         this->startRead();
         return;
@@ -211,7 +211,7 @@
     this->socket.close(ignored);
 }
 
-AnswerReader &EndpointLink::answer()
+ResponseReader &EndpointLink::answer()
 {
     return *this->reader;
 }
@@ -256,7 +256,7 @@
             break; // still usable for a request that may be retried
         }
         idleLinks.pop_back();
-        if (fresh && link->reusable() && !closedByOther(link->socket)) {
+        if (fresh && link->reusable() && !closedByPeer(link->socket)) {
             return link;
         }
         link->close();
--- a/lacewing/endpointlink.h
+++ b/lacewing/endpointlink.h
@@ -64,7 +64,7 @@
     void close();
 
     /// @return the current answer; valid after the first onProgress
-    AnswerReader &answer();
+    ResponseReader &answer();
 
     /// @return whether another request may be sent on the connection
     bool reusable() const;
@@ -95,7 +95,7 @@
     std::string request;
     std::string input;
     std::array<char, 4096> readBuffer {};
-    std::unique_ptr<AnswerReader> reader;
+    std::unique_ptr<ResponseReader> reader;
     std::function<void()> onIdleClosed;
     bool headRequest = false;
     bool connected = false;
--- a/lacewing/endpointtrust.cpp
+++ b/lacewing/endpointtrust.cpp
@@ -7,12 +7,12 @@
 
 namespace lacewing {
 
-void noteSuccess(EndpointTrust &trust)
+void recordSuccess(EndpointTrust &trust)
 {
     trust = EndpointTrust {};
 }
 
-bool noteFailure(EndpointTrust &trust, EndpointFailure failure, TimePoint now)
+bool recordFailure(EndpointTrust &trust, EndpointFailure failure, TimePoint now)
 {
     trust.failures += failure == EndpointFailure::Connect ? failuresToEject : 1;
     if (trust.failures < failuresToEject || now < trust.ejectedUntil) {
--- a/lacewing/endpointtrust.h
+++ b/lacewing/endpointtrust.h
@@ -21,7 +21,7 @@
 enum class EndpointFailure {
     Connect, ///< no connection could be made
     Broken, ///< the connection broke, or the answer was malformed, while a request was in progress
-    Silent, ///< the answer timed out
+    TimedOut, ///< the answer timed out
     Error, ///< the endpoint answered with an error of its own
 };
 
@@ -33,13 +33,13 @@
 
 /// Resets failures and ejection.
 /// @param trust updated
-void noteSuccess(EndpointTrust &trust);
+void recordSuccess(EndpointTrust &trust);
 
 /// @param trust updated
 /// @param failure kind of failure
 /// @param now current time
 /// @return whether this failure ejected the endpoint
-bool noteFailure(EndpointTrust &trust, EndpointFailure failure, TimePoint now);
+bool recordFailure(EndpointTrust &trust, EndpointFailure failure, TimePoint now);
 
 /// @param trust of an endpoint
 /// @param now current time
--- a/lacewing/endpointlapse.h
+++ b/lacewing/entryexpiry.h
@@ -31,6 +31,6 @@
 /// @param storeFailed time of the last failed call in an outage of the store; zero: none
 /// @param now time when the removal was read
 /// @return how long to keep the endpoint; zero: it is gone
-Duration lapseHold(TimePoint storeFailed, TimePoint now);
+Duration expiredEntryHold(TimePoint storeFailed, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/entrynode.cpp
+++ b/lacewing/entrynode.cpp
@@ -10,7 +10,7 @@
 #include <csignal>
 #include <random>
 
-#include "endpointlapse.h"
+#include "entryexpiry.h"
 #include "eventlog.h"
 #include "handlerguard.h"
 #include "stopprogress.h"
@@ -82,7 +82,7 @@
                     }),
       signals(ioContext, SIGTERM, SIGINT, SIGHUP)
 {
-    this->dataPath.onWanted = [this] {
+    this->dataPath.onDemandChanged = [this] {
         if (!this->reportPending) { // one report covers all requests that start to wait in one turn of the loop
             this->reportPending = true;
             asio::post(this->context, [this] {
@@ -95,33 +95,33 @@
         this->receivePlacement(vm, notice, heldUp);
     };
     this->gossip.onDemand = [this](const VmId &vm, const ZoneName &zone, const wire::DemandReport &report) {
-        this->owner.noteDemand(vm, zone, report);
+        this->owner.recordDemand(vm, zone, report);
     };
     this->gossip.onLeaving = [this](const VmId &vm, const ZoneName &zone) { this->onOwnerLeaving(vm, zone); };
     this->gossip.onList = [this](const VmId &vm, const wire::ListChange &change, Duration heldUp) {
         this->receiveList(vm, change, heldUp);
     };
     this->gossip.onConfigOffset = [this](std::int64_t offset) {
-        if (this->onMoreConfig) {
-            this->onMoreConfig(offset);
+        if (this->onConfigBehind) {
+            this->onConfigBehind(offset);
         }
     };
-    this->gossip.onPrompt = [this](const wire::PromptSent &prompt) { this->dataPath.notePrompt(prompt); };
+    this->gossip.onPromptUpdate = [this](const wire::PromptSent &prompt) { this->dataPath.applyPromptUpdate(prompt); };
     this->gossip.onUpdateRequest
         = [this](const VmId &vm, const wire::NewsAsked &asked) { this->answerUpdateRequest(vm, asked); };
-    this->gossip.onEndpointNews = [this](const VmId &vm, const ZoneName &zone, const wire::EndpointNews &news) {
+    this->gossip.onEndpointUpdate = [this](const VmId &vm, const ZoneName &zone, const wire::EndpointNews &news) {
         this->receiveEndpointUpdate(vm, zone, news);
     };
-    this->dataPath.onEndpointNews = [this](const wire::EndpointNews &news) {
+    this->dataPath.onEndpointUpdate = [this](const wire::EndpointNews &news) {
         this->gossip.sendEndpointUpdateToAll(news);
         this->receiveEndpointUpdate(this->settings.vm, this->settings.zone, news);
     };
-    this->dataPath.onPrompt = [this](const wire::PromptSent &prompt) { this->gossip.sendPromptToAll(prompt); };
+    this->dataPath.onPromptUpdate = [this](const wire::PromptSent &prompt) { this->gossip.sendPromptToAll(prompt); };
     this->gossip.onCrashUpdate = [this](const wire::CrashNews &news) { this->dataPath.crashWatch().take(news); };
-    this->dataPath.crashWatch().onNews
+    this->dataPath.crashWatch().onUpdate
         = [this](const wire::CrashNews &news) { this->gossip.sendCrashUpdateToAll(news); };
-    this->gossip.onLimitNews = [this](const wire::LimitNews &news) { this->dataPath.noteLimitNews(news); };
-    this->dataPath.onLimitNews = [this](const wire::LimitNews &news) { this->sendLimitUpdate(news); };
+    this->gossip.onLimitUpdate = [this](const wire::LimitNews &news) { this->dataPath.applyLimitUpdate(news); };
+    this->dataPath.onLimitUpdate = [this](const wire::LimitNews &news) { this->sendLimitUpdate(news); };
     this->owner.onChanged = [this](const wire::PlacementNotice &notice) { this->broadcastPlacement(notice); };
     this->owner.mayOrder = [this] { return this->mayOrderNow(); };
     this->owner.onFenced = [this] {
@@ -230,12 +230,12 @@
     this->gossip.configOffset = offset;
 }
 
-void EntryNode::noteUnreadable()
+void EntryNode::countUnreadableRecord()
 {
     this->unreadableRecords += 1;
 }
 
-void EntryNode::storeAnswered(bool answered)
+void EntryNode::recordStoreResult(bool answered)
 {
     const TimePoint now = this->clock.now();
     if (!answered && isOutage(!this->storeUp, now - this->dataPath.fleet().list.current)) {
@@ -370,7 +370,7 @@
     line("plans_total", this->owner.plansMade);
     line("reports_read_total", this->owner.reportsRead);
     line("endpoints", static_cast<std::int64_t>(this->dataPath.fleet().endpoints.size()));
-    const ListKnowledge &list = this->dataPath.fleet().list;
+    const ListFreshness &list = this->dataPath.fleet().list;
     if (list.offset != noOffset) {
         line("list_age_milliseconds", toMilliseconds(this->clock.now() - list.current));
     }
@@ -392,8 +392,8 @@
     datagramLines("sent_within_zone", this->gossip.counts.sentWithinZone);
     datagramLines("sent_to_other_zones", this->gossip.counts.sentToOtherZones);
     datagramLines("received", this->gossip.counts.received);
-    if (this->onMetrics) {
-        text += this->onMetrics();
+    if (this->extraMetrics) {
+        text += this->extraMetrics();
     }
     return text;
 }
@@ -405,7 +405,7 @@
              {{"sent_within_zone", describe(counts.sentWithinZone)},
               {"sent_to_other_zones", describe(counts.sentToOtherZones)},
               {"received", describe(counts.received)},
-              {"store_calls", this->onStoreCalls ? this->onStoreCalls() : std::string()}});
+              {"store_calls", this->describeStoreCalls ? this->describeStoreCalls() : std::string()}});
 }
 
 } // namespace lacewing
--- a/lacewing/entrynode.h
+++ b/lacewing/entrynode.h
@@ -21,13 +21,13 @@
 
 #include "clock.h"
 #include "gateway.h"
-#include "newsprogress.h"
 #include "placementowner.h"
 #include "platformport.h"
-#include "stallwatch.h"
+#include "stalldetector.h"
 #include "statusserver.h"
+#include "updateprogress.h"
 #include "vmgossip.h"
-#include "wantedzone.h"
+#include "zonechoice.h"
 #include "zoneclaim.h"
 
 namespace lacewing {
@@ -101,19 +101,19 @@
     /// @return whether the VM was heard within vmLifetime
     bool heard(const VmId &vm) const;
     /// Counts a record of the platform that could not be read, for the metrics page.
-    void noteUnreadable();
+    void countUnreadableRecord();
     /// Records whether the platform's store answered a call; a change is logged.
-    void storeAnswered(bool answered);
+    void recordStoreResult(bool answered);
 
     /// Further lines for the metrics page; set by the platform adapter.
-    std::function<std::string()> onMetrics;
+    std::function<std::string()> extraMetrics;
     /// Returns the counts of calls to the platform's store, for the log; set by the platform adapter.
-    std::function<std::string()> onStoreCalls;
+    std::function<std::string()> describeStoreCalls;
     /// Called on SIGHUP, to read the settings again; set by the component that reads them.
     std::function<void()> onReload;
     /// Called when another VM has read the operators' changes further, up to this offset; set by the component that
     /// reads them.
-    std::function<void(std::int64_t offset)> onMoreConfig;
+    std::function<void(std::int64_t offset)> onConfigBehind;
 
 private:
     struct EndpointIncarnation {
@@ -126,7 +126,7 @@
         std::int64_t fencing = 0;
         TimePoint heard;
         std::int32_t idlePlaces = -1; ///< free adapter places in the zone; -1: not known
-        NewsProgress news;
+        UpdateProgress news;
         std::vector<EndpointIncarnation> byIndex; ///< endpoints in the order of the loads in its notices
         bool updateRequestPending = false; ///< a check for missed updates is scheduled
     };
@@ -155,7 +155,7 @@
     void recordOwnDemand();
     wire::DemandReport demandFor(const ZoneName &ownerZone, const wire::DemandReport &all) const;
     bool hasOwner(const ZoneName &zone) const;
-    std::vector<ZoneOffer> zoneOffers(const std::string &weights) const;
+    std::vector<ZoneCandidate> zoneOffers(const std::string &weights) const;
     void chooseZones(const wire::DemandReport &all);
     void receivePlacement(const VmId &vm, const wire::PlacementNotice &notice, Duration heldUp);
     void applyNotice(const wire::PlacementNotice &notice);
@@ -173,11 +173,11 @@
     bool isSuperseded(std::int64_t offset) const;
     void queueListed(const EndpointEntry &entry);
     void forwardListChange();
-    void sendList(wire::ListChange change, const ListStatement &statement);
+    void sendList(wire::ListChange change, const ListAnnouncement &statement);
     void applyListChange(const wire::ListChange &change);
     void receiveList(const VmId &vm, const wire::ListChange &change, Duration heldUp);
     void receiveListAge(const VmId &vm, const wire::PlacementNotice &notice, Duration heldUp);
-    void recordOwnersRead(const VmId &vm, const ListStatement &statement);
+    void recordOwnersRead(const VmId &vm, const ListAnnouncement &statement);
     void onFleetChanged();
     void awaitSignal();
     void beginStop();
@@ -200,7 +200,7 @@
     StatusServer metricsServer;
     ZoneClaim claim;
     std::map<ZoneName, ZoneOwner> owners;
-    std::map<std::string, AskedZone> requestedZones; ///< by adapter that requests of this VM wait for
+    std::map<std::string, RequestedZone> requestedZones; ///< by adapter that requests of this VM wait for
     std::map<ZoneName, SentDemand> sentDemand; ///< last reports to the owners of other zones
     std::map<EndpointName, TimePoint>
         pendingRemovals; ///< removed from the list around an outage of the store, and kept for now
--- a/lacewing/entrynodelist.cpp
+++ b/lacewing/entrynodelist.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <array>
 
-#include "endpointlapse.h"
+#include "entryexpiry.h"
 #include "eventlog.h"
 #include "weightsname.h"
 
@@ -82,7 +82,7 @@
         return;
     }
     this->pendingRemovals.erase(entry.id);
-    this->dataPath.crashWatch().noteListed(entry);
+    this->dataPath.crashWatch().recordListedEntry(entry);
     const bool knownToLeave = isLeaving(this->dataPath.fleet(), entry.id, entry.born);
     if (entry.leaving && !knownToLeave) {
         logEvent("endpoint_leaving",
@@ -126,7 +126,7 @@
     if (known == this->dataPath.fleet().endpoints.end()) {
         return;
     }
-    const Duration hold = lapseHold(this->lastStoreFailure, now);
+    const Duration hold = expiredEntryHold(this->lastStoreFailure, now);
     logEvent(
         "endpoint_unlisted",
         {{"endpoint", id}, {"hold_ms", std::to_string(toMilliseconds(hold))}, {"news", std::string(nameOf(source))}});
@@ -161,7 +161,7 @@
         return;
     }
     const bool changed = !change.listed.empty() || !change.removed.empty();
-    const ListStatement statement = nextStatement(this->listChain, this->dataPath.fleet().list, changed);
+    const ListAnnouncement statement = nextAnnouncement(this->listChain, this->dataPath.fleet().list, changed);
     change.previous = statement.previous;
     change.offset = statement.offset;
     this->sendList(change, statement);
@@ -178,7 +178,7 @@
     }
 }
 
-void EntryNode::sendList(wire::ListChange change, const ListStatement &statement)
+void EntryNode::sendList(wire::ListChange change, const ListAnnouncement &statement)
 {
     change.ageMilliseconds
         = toMilliseconds(this->clock.now() - statement.read); // the read is older by the time of a repeat
@@ -187,8 +187,8 @@
 
 void EntryNode::receiveList(const VmId &vm, const wire::ListChange &change, Duration heldUp)
 {
-    const ListKnowledge &known = this->dataPath.fleet().list;
-    ListStatement statement;
+    const ListFreshness &known = this->dataPath.fleet().list;
+    ListAnnouncement statement;
     statement.previous = change.previous;
     statement.offset = change.offset;
     statement.read = this->clock.now() - milliseconds(change.ageMilliseconds) - heldUp;
@@ -215,18 +215,18 @@
     if (notice.listAgeMilliseconds < 0) {
         return; // an update about adapters, which does not refer to the list
     }
-    ListStatement statement;
+    ListAnnouncement statement;
     statement.previous = notice.listOffset < 0 ? noOffset : notice.listChange;
     statement.offset = notice.listOffset < 0 ? notice.listChange : notice.listOffset;
     statement.read = this->clock.now() - milliseconds(notice.listAgeMilliseconds) - heldUp;
     this->recordOwnersRead(vm, statement);
 }
 
-void EntryNode::recordOwnersRead(const VmId &vm, const ListStatement &statement)
+void EntryNode::recordOwnersRead(const VmId &vm, const ListAnnouncement &statement)
 {
     const std::int64_t before = this->dataPath.fleet().list.offset;
-    this->dataPath.changeFleet([&](Fleet &fleet) { noteStatement(fleet.list, statement, vm); });
-    noteToldByOther(this->listChain, before, this->dataPath.fleet().list);
+    this->dataPath.changeFleet([&](Fleet &fleet) { recordStatement(fleet.list, statement, vm); });
+    recordUpdateFromOther(this->listChain, before, this->dataPath.fleet().list);
 }
 
 void EntryNode::dropEndpoint(const EndpointName &id)
@@ -244,9 +244,9 @@
 void EntryNode::listRead(const ListRead &read)
 {
     const TimePoint asked = this->clock.now() - read.age;
-    this->dataPath.changeFleet([&read, asked](Fleet &fleet) { noteOwnRead(fleet.list, read.offset, asked); });
-    if (read.afresh) {
-        breakChain(this->listChain);
+    this->dataPath.changeFleet([&read, asked](Fleet &fleet) { recordOwnRead(fleet.list, read.offset, asked); });
+    if (read.relisted) {
+        resetChain(this->listChain);
     }
     this->forwardListChange();
     this->onFleetChanged();
--- a/lacewing/entrynodeplacement.cpp
+++ b/lacewing/entrynodeplacement.cpp
@@ -121,7 +121,7 @@
 void EntryNode::becomeOwner()
 {
     this->owner.begin(this->claim.fencing);
-    beginChain(this->listChain, this->dataPath.fleet().list);
+    startChain(this->listChain, this->dataPath.fleet().list);
     this->recordOwnDemand();
     this->onFleetChanged();
     this->sendNotice();
@@ -139,7 +139,7 @@
 {
     if (this->owner.active()) {
         const wire::DemandReport all = this->dataPath.demand();
-        this->owner.noteDemand(this->settings.vm, this->settings.zone, this->demandFor(this->settings.zone, all));
+        this->owner.recordDemand(this->settings.vm, this->settings.zone, this->demandFor(this->settings.zone, all));
     }
 }
 
@@ -152,23 +152,23 @@
     return found != this->owners.end() && this->clock.now() - found->second.heard < ownerLifetime;
 }
 
-std::vector<ZoneOffer> EntryNode::zoneOffers(const std::string &weights) const
+std::vector<ZoneCandidate> EntryNode::zoneOffers(const std::string &weights) const
 {
     const std::string model = modelOf(weights);
     const std::int32_t oldest = newestVersion(this->dataPath.versions(), weights);
-    std::map<ZoneName, ZoneOffer> zones;
+    std::map<ZoneName, ZoneCandidate> zones;
     for (const auto &[id, endpoint] : this->dataPath.fleet().endpoints) {
         const EndpointEntry &entry = endpoint.entry;
         if (entry.leaving || !entry.held.contains(model) || !this->hasOwner(entry.zone)) {
             continue;
         }
-        ZoneOffer &offer = zones[entry.zone];
+        ZoneCandidate &offer = zones[entry.zone];
         offer.rank = std::max(offer.rank, homeRank(weights, id));
-        if (const RememberedAdapter *before = findRemembered(endpoint.heldBefore, weights, oldest)) {
+        if (const RememberedAdapter *before = findRemembered(endpoint.rememberedAdapters, weights, oldest)) {
             offer.unloaded = std::max(offer.unloaded, before->unloaded);
         }
     }
-    std::vector<ZoneOffer> offers;
+    std::vector<ZoneCandidate> offers;
     for (auto &[zone, offer] : zones) {
         offer.zone = zone;
         const auto known = this->owners.find(zone);
@@ -181,11 +181,11 @@
 
 void EntryNode::chooseZones(const wire::DemandReport &all)
 {
-    std::map<std::string, AskedZone> next;
+    std::map<std::string, RequestedZone> next;
     for (const wire::WantedWeights &want : all.wanted) {
         const auto found = this->requestedZones.find(want.name);
         const auto before = found == this->requestedZones.end() ? std::nullopt : std::optional(found->second);
-        if (const auto zone = zoneToAsk(this->zoneOffers(want.name), before, this->clock.now())) {
+        if (const auto zone = chooseZone(this->zoneOffers(want.name), before, this->clock.now())) {
             next[want.name] = *zone;
         }
     }
@@ -245,12 +245,12 @@
 
 void EntryNode::heartbeat()
 {
-    if (isFailingInSeries(handlerFailures())) {
+    if (isFailingRepeatedly(handlerFailures())) {
         this->context.stop();
         return;
     }
     this->shareRetryBudget();
-    this->gossip.sendHeartbeat(this->dataPath.crashWatch().repeatedNews());
+    this->gossip.sendHeartbeat(this->dataPath.crashWatch().periodicUpdate());
 }
 
 void EntryNode::onOwnerLeaving(const VmId &vm, const ZoneName &zone)
--- a/lacewing/entrynodenews.cpp
+++ b/lacewing/entrynodeupdates.cpp
@@ -16,9 +16,9 @@
         return;
     }
     wire::PlacementNotice notice = this->owner.nextNotice();
-    const ListKnowledge &list = this->dataPath.fleet().list;
+    const ListFreshness &list = this->dataPath.fleet().list;
     if (list.offset != noOffset) {
-        const ListStatement statement = nextStatement(this->listChain, list, false);
+        const ListAnnouncement statement = nextAnnouncement(this->listChain, list, false);
         notice.listChange = statement.previous;
         notice.listOffset = statement.offset;
         notice.listAgeMilliseconds = toMilliseconds(this->clock.now() - statement.read);
@@ -60,7 +60,7 @@
     if (notice.zone == this->settings.zone) {
         this->receiveListAge(vm, notice, heldUp);
     }
-    for (const wire::PlacementNotice &next : takeInOrder(known.news, notice)) {
+    for (const wire::PlacementNotice &next : receiveInOrder(known.news, notice)) {
         this->recordEndpointIndices(next);
         this->applyNotice(next);
     }
@@ -93,7 +93,7 @@
     if (!mine || asked.fencing != this->owner.fencing()) {
         return;
     }
-    for (const wire::PlacementNotice &notice : this->owner.newsSince(asked.known)) {
+    for (const wire::PlacementNotice &notice : this->owner.updatesSince(asked.known)) {
         this->gossip.sendPlacement(vm, notice);
     }
 }
@@ -135,7 +135,7 @@
         }
         if (holdings.heldOmitted) {
             putRunning(fleet, holdings.endpoint, holdings.running);
-            putChange(fleet, holdings.endpoint, holdings.orders, held, holdings.lost, now);
+            applyHoldingsChange(fleet, holdings.endpoint, holdings.orders, held, holdings.lost, now);
         } else {
             putHoldings(fleet, holdings.endpoint, holdings.orders, std::move(held), holdings.running, now);
         }
@@ -166,13 +166,13 @@
     const std::set<ZoneName> zones = this->gossip.zonesInUse();
     const bool zoneOnly = news.sent > 0 && entry.zone == this->settings.zone
         && std::all_of(zones.begin(), zones.end(),
-                       [&](const ZoneName &zone) { return hasEndpointIn(fleet, entry.service, zone); });
+                       [&](const ZoneName &zone) { return hasEndpointInZone(fleet, entry.service, zone); });
     this->gossip.sendLimitUpdate(news, zoneOnly);
 }
 
 void EntryNode::receiveEndpointUpdate(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &news)
 {
-    if (this->dataPath.noteEndpointNews(vm, vmZone, news)) {
+    if (this->dataPath.applyEndpointUpdate(vm, vmZone, news)) {
         this->onFleetChanged();
     }
 }
--- a/lacewing/fleet.cpp
+++ b/lacewing/fleet.cpp
@@ -20,7 +20,7 @@
     fleet.byService[entry.service].push_back(entry.id);
 }
 
-/// Removes weights that the endpoint no longer holds; an adapter is remembered in heldBefore.
+/// Removes weights that the endpoint no longer holds; an adapter is remembered in rememberedAdapters.
 void removeHeld(FleetEndpoint &endpoint, const std::string &weights, TimePoint now)
 {
     const auto held = endpoint.entry.held.find(weights);
@@ -28,7 +28,7 @@
         return;
     }
     if (isAdapter(weights)) {
-        rememberUnloaded(endpoint.heldBefore, weights, {held->second, now}, mostRemembered);
+        rememberUnloaded(endpoint.rememberedAdapters, weights, {held->second, now}, maxRememberedAdapters);
     }
     endpoint.entry.held.erase(held);
 }
@@ -114,8 +114,8 @@
     known.entry.held = std::move(held);
 }
 
-void putChange(Fleet &fleet, const EndpointName &id, std::int64_t orders, const HeldVersions &gained,
-               const std::vector<std::string> &lost, TimePoint now)
+void applyHoldingsChange(Fleet &fleet, const EndpointName &id, std::int64_t orders, const HeldVersions &gained,
+                         const std::vector<std::string> &lost, TimePoint now)
 {
     const auto found = fleet.endpoints.find(id);
     if (found == fleet.endpoints.end() || orders < found->second.entry.orders) {
@@ -128,7 +128,7 @@
     }
     for (const auto &[weights, version] : gained) {
         known.entry.held[weights] = version;
-        known.heldBefore.erase(weights);
+        known.rememberedAdapters.erase(weights);
     }
 }
 
--- a/lacewing/fleet.h
+++ b/lacewing/fleet.h
@@ -15,9 +15,9 @@
 
 #include "endpointlimit.h"
 #include "endpointtrust.h"
-#include "heldbefore.h"
-#include "listknowledge.h"
+#include "listfreshness.h"
 #include "promptpacing.h"
+#include "rememberedadapters.h"
 #include "sharedfailures.h"
 #include "types.h"
 
@@ -44,10 +44,10 @@
     EndpointTrust trust;
     SharedFailures failures;
     EndpointLimit limit;
-    HeldBefore heldBefore; ///< adapters unloaded since, by the placement owner's updates
+    RememberedAdapters rememberedAdapters; ///< adapters unloaded since, by the placement owner's updates
     PromptQueue prompts; ///< of all VMs, as far as they announced them
     std::int32_t ownRunning = 0; ///< requests of this VM in progress there
-    std::int32_t ownSuspects = 0; ///< requests among them that may crash the endpoint
+    std::int32_t ownCrashSuspects = 0; ///< requests among them that may crash the endpoint
     std::int32_t allRunning = 0; ///< requests of all VMs in progress there, as last reported by the placement owner
     std::int32_t ownRunningAtReport = 0; ///< ownRunning at the time of that report
     TimePoint lastListed; ///< when the platform's list last contained it
@@ -56,7 +56,7 @@
 struct Fleet {
     std::unordered_map<EndpointName, FleetEndpoint> endpoints;
     std::unordered_map<ServiceName, std::vector<EndpointName>> byService;
-    ListKnowledge list;
+    ListFreshness list;
 };
 
 /// How an entry of the platform's list relates to what is known.
@@ -112,8 +112,8 @@
 /// @param gained weights that it holds now
 /// @param lost weights that it no longer holds
 /// @param now current time
-void putChange(Fleet &fleet, const EndpointName &id, std::int64_t orders, const HeldVersions &gained,
-               const std::vector<std::string> &lost, TimePoint now);
+void applyHoldingsChange(Fleet &fleet, const EndpointName &id, std::int64_t orders, const HeldVersions &gained,
+                         const std::vector<std::string> &lost, TimePoint now);
 
 /// Updates how busy an endpoint is, as reported by the placement owner.
 /// @param fleet updated; unchanged if the endpoint is unknown
--- a/lacewing/gateway.cpp
+++ b/lacewing/gateway.cpp
@@ -57,7 +57,7 @@
 
 void Gateway::addCaller(Tcp::socket socket)
 {
-    if (this->callers.size() >= this->settings.mostConnections) {
+    if (this->callers.size() >= this->settings.maxConnections) {
         return;
     }
     const CallerLimits limits = this->configInForce ? this->configInForce->limits : CallerLimits {};
@@ -71,10 +71,10 @@
             this->onRequest(from, std::move(head), std::move(body));
         }
     };
-    handlers.onUnreadable = [weak](int status) {
+    handlers.onMalformedRequest = [weak](int status) {
         if (const auto from = weak.lock()) {
             logEvent("request_unreadable", {{"status", std::to_string(status)}});
-            HttpAnswerHead answer;
+            HttpResponseHead answer;
             answer.status = status;
             answer.reason = "unreadable request";
             answer.length = 0;
@@ -132,12 +132,12 @@
 
 void Gateway::setVersion(std::string_view weights, std::int32_t version, bool isNew)
 {
-    if (nameVersion(this->versionsNamed, weights, version, isNew ? this->now() : TimePoint {})) {
+    if (recordVersion(this->versionsNamed, weights, version, isNew ? this->now() : TimePoint {})) {
         logEvent("version_named", {{"weights", std::string(weights)}, {"version", std::to_string(version)}});
     }
 }
 
-void Gateway::notePrompt(const wire::PromptSent &prompt)
+void Gateway::applyPromptUpdate(const wire::PromptSent &prompt)
 {
     const auto found = this->fleetState.endpoints.find(prompt.endpoint);
     if (found == this->fleetState.endpoints.end()) {
@@ -149,7 +149,7 @@
         return;
     }
     if (prompt.readMicroseconds > 0) {
-        learnReading(queue, prompt.tokens, Duration {prompt.readMicroseconds});
+        recordPrefillTime(queue, prompt.tokens, Duration {prompt.readMicroseconds});
     }
     if (removePrompt(queue, prompt.ticket, this->now())) {
         // Deferred, because the request that left the queue may be moving to another endpoint in this call.
@@ -161,12 +161,12 @@
 {
     std::vector<std::shared_ptr<Relay>> paced;
     for (const auto &relay : this->relays) {
-        if (relay->pacedAt() == id) {
+        if (relay->pacedEndpoint() == id) {
             paced.push_back(relay);
         }
     }
     for (const auto &relay : paced) {
-        relay->lookForTurn();
+        relay->recheckPacing();
     }
 }
 
@@ -180,7 +180,7 @@
     }
     std::sort(waiting.begin(), waiting.end(), [](const auto &one, const auto &other) { return one->before(*other); });
     for (const auto &relay : waiting) {
-        relay->lookAgain();
+        relay->retryPlacement();
     }
 }
 
@@ -188,7 +188,7 @@
 {
     const std::vector<std::shared_ptr<Relay>> open(this->relays.begin(), this->relays.end());
     for (const auto &relay : open) {
-        relay->endIfProven();
+        relay->endIfProvenToCrash();
     }
 }
 
--- a/lacewing/gateway.h
+++ b/lacewing/gateway.h
@@ -45,7 +45,7 @@
     ZoneName zone;
     double retryShare = 0.2; ///< retries as a share of requests, for each VM
     double retryBurst = 1; ///< maximum unused retries that this VM accumulates for each service
-    std::size_t mostConnections = 2000; ///< of callers
+    std::size_t maxConnections = 2000; ///< of callers
     Duration versionBound = milliseconds(5000); ///< a new version is in force within this time after its acknowledgment
 };
 
@@ -134,26 +134,26 @@
     const CrashWatch &crashWatch() const;
 
     /// Records that a prompt of any VM joined an endpoint's prompt queue, or left it.
-    void notePrompt(const wire::PromptSent &prompt);
+    void applyPromptUpdate(const wire::PromptSent &prompt);
 
     /// Applies a VM's report that an endpoint fails or works.
     /// @param vm that reports, possibly this one
     /// @param vmZone zone of that VM
     /// @param update the report
     /// @return whether the endpoint changed between shunned and not shunned
-    bool noteEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &update);
+    bool applyEndpointUpdate(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &update);
 
     /// Applies another VM's update of an endpoint's request rate limit.
-    void noteLimitNews(const wire::LimitNews &update);
+    void applyLimitUpdate(const wire::LimitNews &update);
 
     /// Called with each update for other VMs of an endpoint's rate limit, and of requests sent to that endpoint.
-    std::function<void(const wire::LimitNews &)> onLimitNews;
+    std::function<void(const wire::LimitNews &)> onLimitUpdate;
     /// Called with each report for other VMs that an endpoint fails or works.
-    std::function<void(const wire::EndpointNews &)> onEndpointNews;
+    std::function<void(const wire::EndpointNews &)> onEndpointUpdate;
     /// Called when a prompt of this VM joins or leaves an endpoint's prompt queue.
-    std::function<void(const wire::PromptSent &)> onPrompt;
+    std::function<void(const wire::PromptSent &)> onPromptUpdate;
     /// Called when a request starts to wait for weights that no endpoint has loaded.
-    std::function<void()> onWanted;
+    std::function<void()> onDemandChanged;
 
 private:
     friend class Relay;
@@ -162,14 +162,14 @@
     void addCaller(Tcp::socket socket);
     void onRequest(const std::shared_ptr<CallerConnection> &caller, HttpRequestHead head, std::string body);
     void wakeWaiting();
-    void wakeAfter(Duration delay);
+    void scheduleWakeup(Duration delay);
     void endProvenRequests();
     void announceEndpointStatus(const EndpointName &id, bool works);
-    void noteEndpointFailure(const EndpointName &id, EndpointFailure failure, const std::string &request);
-    void noteEndpointSuccess(const EndpointName &id);
-    void noteLimit(const EndpointName &id, const AnswerInfo &answer, bool success);
+    void recordEndpointFailure(const EndpointName &id, EndpointFailure failure, const std::string &request);
+    void recordEndpointSuccess(const EndpointName &id);
+    void recordLimit(const EndpointName &id, const AnswerInfo &answer, bool success);
     void announceLimit(const EndpointName &id, double perSecond);
-    void noteSend(const EndpointName &id);
+    void recordSend(const EndpointName &id);
     std::size_t countShunned(const ServiceName &service) const;
     void wakePaced(const EndpointName &id);
     TimePoint now() const;
--- a/lacewing/gatewaynews.cpp
+++ b/lacewing/gatewayupdates.cpp
@@ -10,7 +10,7 @@
 
 namespace lacewing {
 
-void Gateway::noteEndpointFailure(const EndpointName &id, EndpointFailure failure, const std::string &request)
+void Gateway::recordEndpointFailure(const EndpointName &id, EndpointFailure failure, const std::string &request)
 {
     const auto found = this->fleetState.endpoints.find(id);
     if (found == this->fleetState.endpoints.end()) {
@@ -18,7 +18,7 @@
     }
     FleetEndpoint &endpoint = found->second;
     const TimePoint now = this->now();
-    if (noteFailure(endpoint.trust, failure, now)) {
+    if (recordFailure(endpoint.trust, failure, now)) {
         logEvent("endpoint_ejected",
                  {{"endpoint", id}, {"id", request}, {"ejection_ms", inMilliseconds(endpoint.trust.ejection)}});
     }
@@ -28,14 +28,14 @@
     }
 }
 
-void Gateway::noteEndpointSuccess(const EndpointName &id)
+void Gateway::recordEndpointSuccess(const EndpointName &id)
 {
     const auto found = this->fleetState.endpoints.find(id);
     if (found == this->fleetState.endpoints.end()) {
         return;
     }
-    noteSuccess(found->second.trust);
-    if (shouldVouch(found->second.failures, this->now())) {
+    recordSuccess(found->second.trust);
+    if (shouldAnnounceSuccess(found->second.failures, this->now())) {
         this->announceEndpointStatus(id, true);
     }
 }
@@ -46,8 +46,8 @@
     update.endpoint = id;
     update.born = this->fleetState.endpoints.at(id).entry.born;
     update.works = works;
-    if (this->onEndpointNews) {
-        this->onEndpointNews(update);
+    if (this->onEndpointUpdate) {
+        this->onEndpointUpdate(update);
     }
 }
 
@@ -59,7 +59,7 @@
     return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), shunned));
 }
 
-bool Gateway::noteEndpointNews(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &update)
+bool Gateway::applyEndpointUpdate(const VmId &vm, const ZoneName &vmZone, const wire::EndpointNews &update)
 {
     if (!isIncarnation(this->fleetState, update.endpoint, update.born)) {
         return false;
@@ -69,10 +69,10 @@
     const TimePoint now = this->now();
     const bool wasShunned = isShunned(failures, now);
     if (update.works) {
-        noteWorks(failures);
+        clearReports(failures);
         return wasShunned;
     }
-    noteReport(failures, {vm, vmZone, now});
+    recordReport(failures, {vm, vmZone, now});
     const ServiceName &service = endpoint.entry.service;
     if (!isReportedFailing(failures, endpoint.entry.zone, this->settings.zone, now)
         || (!wasShunned
@@ -89,7 +89,7 @@
     return !wasShunned;
 }
 
-void Gateway::noteLimit(const EndpointName &id, const AnswerInfo &answer, bool success)
+void Gateway::recordLimit(const EndpointName &id, const AnswerInfo &answer, bool success)
 {
     const auto found = this->fleetState.endpoints.find(id);
     if (found == this->fleetState.endpoints.end()) {
@@ -98,7 +98,7 @@
     EndpointLimit &limit = found->second.limit;
     const TimePoint now = this->now();
     if (!answer.limit) {
-        if (success && noteNoLimit(limit, now)) {
+        if (success && recordNoLimit(limit, now)) {
             logEvent("limit_ended", {{"endpoint", id}, {"id", answer.id}});
             this->announceLimit(id, 0);
             this->wakeWaiting();
@@ -110,11 +110,11 @@
         logEvent("limit_ignored", {{"endpoint", id}, {"id", answer.id}, {"per_second", std::to_string(*answer.limit)}});
         return;
     }
-    const bool changed = lacewing::noteLimit(limit, *answer.limit, now, now);
+    const bool changed = lacewing::recordLimit(limit, *answer.limit, now, now);
     if (changed) {
         logEvent("limit_named", {{"endpoint", id}, {"id", answer.id}, {"per_second", std::to_string(*answer.limit)}});
     }
-    if (changed || shouldTell(limit, now)) {
+    if (changed || shouldAnnounceLimit(limit, now)) {
         this->announceLimit(id, limit.rate);
     }
 }
@@ -127,28 +127,28 @@
     update.endpoint = id;
     update.born = endpoint.entry.born;
     update.perSecond = perSecond;
-    if (this->onLimitNews) {
-        this->onLimitNews(update);
+    if (this->onLimitUpdate) {
+        this->onLimitUpdate(update);
     }
 }
 
-void Gateway::noteSend(const EndpointName &id)
+void Gateway::recordSend(const EndpointName &id)
 {
     FleetEndpoint &endpoint = this->fleetState.endpoints.at(id);
     if (!isLimited(endpoint.limit)) {
         return;
     }
-    takeRoom(endpoint.limit, 1, this->now());
+    takeTokens(endpoint.limit, 1, this->now());
     wire::LimitNews update;
     update.endpoint = id;
     update.born = endpoint.entry.born;
     update.sent = 1;
-    if (this->onLimitNews) {
-        this->onLimitNews(update);
+    if (this->onLimitUpdate) {
+        this->onLimitUpdate(update);
     }
 }
 
-void Gateway::noteLimitNews(const wire::LimitNews &update)
+void Gateway::applyLimitUpdate(const wire::LimitNews &update)
 {
     if (!isIncarnation(this->fleetState, update.endpoint, update.born)) {
         return;
@@ -157,20 +157,20 @@
     const TimePoint now = this->now();
     const TimePoint at = now - milliseconds(std::max<std::int64_t>(0, update.ageMilliseconds));
     if (update.sent > 0 && isLimited(limit)) {
-        takeRoom(limit, update.sent, now);
+        takeTokens(limit, update.sent, now);
     }
     if (isPlausibleLimit(update.perSecond)) {
         limit.told = now;
-        if (lacewing::noteLimit(limit, update.perSecond, at, now)) {
+        if (lacewing::recordLimit(limit, update.perSecond, at, now)) {
             logEvent("limit_told", {{"endpoint", update.endpoint}, {"per_second", std::to_string(update.perSecond)}});
         }
-    } else if (update.perSecond == 0 && noteNoLimit(limit, at)) {
+    } else if (update.perSecond == 0 && recordNoLimit(limit, at)) {
         logEvent("limit_ended", {{"endpoint", update.endpoint}});
         this->wakeWaiting();
     }
 }
 
-void Gateway::wakeAfter(Duration delay)
+void Gateway::scheduleWakeup(Duration delay)
 {
     const TimePoint at = this->now() + delay;
     if (this->capacityTimerDue && *this->capacityTimerDue <= at) {
--- a/lacewing/handlerguard.cpp
+++ b/lacewing/handlerguard.cpp
@@ -38,7 +38,7 @@
     failures.last = now;
 }
 
-bool isFailingInSeries(const HandlerFailures &failures)
+bool isFailingRepeatedly(const HandlerFailures &failures)
 {
     return failures.inSeries > maxFailuresInSeries;
 }
--- a/lacewing/handlerguard.h
+++ b/lacewing/handlerguard.h
@@ -35,7 +35,7 @@
 void recordFailure(HandlerFailures &failures, TimePoint now);
 
 /// @return whether the process must end
-bool isFailingInSeries(const HandlerFailures &failures);
+bool isFailingRepeatedly(const HandlerFailures &failures);
 
 /// @return failures of all handlers in this process
 const HandlerFailures &handlerFailures();
--- a/lacewing/httpclient.cpp
+++ b/lacewing/httpclient.cpp
@@ -64,7 +64,7 @@
     while (!idleConnections.empty()) {
         Idle last = std::move(idleConnections.back());
         idleConnections.pop_back();
-        if (last.since >= minIdleSince && !closedByOther(last.connection->stream.socket())) {
+        if (last.since >= minIdleSince && !closedByPeer(last.connection->stream.socket())) {
             last.connection->reused = true;
             return std::move(last.connection);
         }
--- a/lacewing/httphead.cpp
+++ b/lacewing/httphead.cpp
@@ -115,7 +115,7 @@
     return text;
 }
 
-std::string formatAnswerHead(const HttpAnswerHead &head, BodyFraming framing, bool keepAlive)
+std::string formatAnswerHead(const HttpResponseHead &head, BodyFraming framing, bool keepAlive)
 {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " " + head.reason + "\r\n";
     appendHeaders(text, head.headers);
--- a/lacewing/httphead.h
+++ b/lacewing/httphead.h
@@ -30,7 +30,7 @@
     bool http11 = true;
 };
 
-struct HttpAnswerHead {
+struct HttpResponseHead {
     int status = 0;
     std::string reason;
     HttpHeaders headers;
@@ -74,6 +74,6 @@
 /// @param framing framing of the body
 /// @param keepAlive whether the connection stays open
 /// @return the serialized head, including the empty line at its end
-std::string formatAnswerHead(const HttpAnswerHead &head, BodyFraming framing, bool keepAlive);
+std::string formatAnswerHead(const HttpResponseHead &head, BodyFraming framing, bool keepAlive);
 
 } // namespace lacewing
--- a/lacewing/httpreader.cpp
+++ b/lacewing/httpreader.cpp
@@ -114,7 +114,7 @@
 {
 }
 
-AnswerReader::AnswerReader(bool toHeadRequest)
+ResponseReader::ResponseReader(bool toHeadRequest)
 {
     this->header_limit(maxAnswerHeadBytes);
     this->body_limit(std::numeric_limits<std::int64_t>::max());
@@ -122,12 +122,12 @@
     this->skip(toHeadRequest);
 }
 
-std::size_t AnswerReader::read(std::string_view bytes, ReadError &error)
+std::size_t ResponseReader::read(std::string_view bytes, ReadError &error)
 {
     return putAll(static_cast<http::basic_parser<false> &>(*this), bytes, error);
 }
 
-void AnswerReader::readEnd(ReadError &error)
+void ResponseReader::readEnd(ReadError &error)
 {
     this->put_eof(error);
     if (!error && !this->is_done()) {
@@ -135,42 +135,42 @@
     }
 }
 
-bool AnswerReader::started() const
+bool ResponseReader::started() const
 {
     return this->got_some();
 }
 
-bool AnswerReader::headRead() const
+bool ResponseReader::headRead() const
 {
     return this->is_header_done();
 }
 
-bool AnswerReader::complete() const
+bool ResponseReader::complete() const
 {
     return this->is_done();
 }
 
-std::string AnswerReader::takeBody()
+std::string ResponseReader::takeBody()
 {
     return std::exchange(this->body, {});
 }
 
-void AnswerReader::on_request_impl(http::verb, string_view, string_view, int, ReadError &)
+void ResponseReader::on_request_impl(http::verb, string_view, string_view, int, ReadError &)
 {
 }
 
-void AnswerReader::on_response_impl(int status, string_view reason, int, ReadError &)
+void ResponseReader::on_response_impl(int status, string_view reason, int, ReadError &)
 {
     this->head.status = status;
     this->head.reason = toString(reason);
 }
 
-void AnswerReader::on_field_impl(http::field, string_view name, string_view value, ReadError &)
+void ResponseReader::on_field_impl(http::field, string_view name, string_view value, ReadError &)
 {
     this->head.headers.push_back({toString(name), toString(value)});
 }
 
-void AnswerReader::on_header_impl(ReadError &)
+void ResponseReader::on_header_impl(ReadError &)
 {
     this->head.keepAlive = this->keep_alive();
     if (const auto length = this->content_length()) {
@@ -178,27 +178,27 @@
     }
 }
 
-void AnswerReader::on_body_init_impl(const boost::optional<std::uint64_t> &, ReadError &)
+void ResponseReader::on_body_init_impl(const boost::optional<std::uint64_t> &, ReadError &)
 {
 }
 
-std::size_t AnswerReader::on_body_impl(string_view bytes, ReadError &)
+std::size_t ResponseReader::on_body_impl(string_view bytes, ReadError &)
 {
     this->body.append(bytes.data(), bytes.size());
     return bytes.size();
 }
 
-void AnswerReader::on_chunk_header_impl(std::uint64_t, string_view, ReadError &)
+void ResponseReader::on_chunk_header_impl(std::uint64_t, string_view, ReadError &)
 {
 }
 
-std::size_t AnswerReader::on_chunk_body_impl(std::uint64_t, string_view bytes, ReadError &)
+std::size_t ResponseReader::on_chunk_body_impl(std::uint64_t, string_view bytes, ReadError &)
 {
     this->body.append(bytes.data(), bytes.size());
     return bytes.size();
 }
 
-void AnswerReader::on_finish_impl(ReadError &)
+void ResponseReader::on_finish_impl(ReadError &)
 {
 }
 
--- a/lacewing/httpreader.h
+++ b/lacewing/httpreader.h
@@ -1,6 +1,6 @@
 // Incremental parsers for HTTP/1.1 requests and answers, based on Boost.Beast.
 //
-//   AnswerReader reader(false);
+//   ResponseReader reader(false);
 //   std::size_t used = reader.read(bytes, error); // again with the unused and the new bytes
 //   if (reader.headRead()) forward(reader.takeBody());
 //   if (reader.complete()) ...
@@ -56,11 +56,11 @@
 };
 
 /// Parses one answer; the body is available in parts as it arrives.
-class AnswerReader : private boost::beast::http::basic_parser<false>
+class ResponseReader : private boost::beast::http::basic_parser<false>
 {
 public:
     /// @param toHeadRequest whether the answer has no body because the request was a HEAD request
-    explicit AnswerReader(bool toHeadRequest);
+    explicit ResponseReader(bool toHeadRequest);
 
     /// @param bytes input that was not used yet
     /// @param error set if the answer is malformed
@@ -78,7 +78,7 @@
     /// @return body bytes that arrived since the last call
     std::string takeBody();
 
-    HttpAnswerHead head;
+    HttpResponseHead head;
 
 private:
     using string_view = boost::beast::string_view; // NOLINT(readability-identifier-naming): name of the base class
--- a/lacewing/limiteduse.cpp
+++ b/lacewing/limiteduse.cpp
@@ -8,7 +8,7 @@
 
 namespace lacewing {
 
-bool hasEndpointIn(const Fleet &fleet, const ServiceName &service, const ZoneName &zone)
+bool hasEndpointInZone(const Fleet &fleet, const ServiceName &service, const ZoneName &zone)
 {
     const std::vector<EndpointName> &all = endpointsOf(fleet, service);
     return std::any_of(all.begin(), all.end(),
@@ -20,7 +20,7 @@
     return endpointZone == zone || !zoneServed;
 }
 
-bool takesPlacement(const Fleet &fleet, const FleetEndpoint &endpoint, TimePoint now)
+bool acceptsPlacement(const Fleet &fleet, const FleetEndpoint &endpoint, TimePoint now)
 {
     if (isShunned(endpoint.failures, now)) {
         return false;
--- a/lacewing/limiteduse.h
+++ b/lacewing/limiteduse.h
@@ -19,7 +19,7 @@
 /// @param service name of a service
 /// @param zone of interest
 /// @return whether the zone has an endpoint of the service
-bool hasEndpointIn(const Fleet &fleet, const ServiceName &service, const ZoneName &zone);
+bool hasEndpointInZone(const Fleet &fleet, const ServiceName &service, const ZoneName &zone);
 
 /// @param endpointZone zone of an endpoint with a limit
 /// @param zone of a VM
@@ -31,6 +31,6 @@
 /// @param endpoint one of them
 /// @param now current time
 /// @return whether adapters may be placed on the endpoint, and those that it holds count as held
-bool takesPlacement(const Fleet &fleet, const FleetEndpoint &endpoint, TimePoint now);
+bool acceptsPlacement(const Fleet &fleet, const FleetEndpoint &endpoint, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/listknowledge.cpp
+++ b/lacewing/listfreshness.cpp
@@ -1,13 +1,13 @@
 // Offsets are those of the store. So the announcements of two VMs that both consider themselves the owner do not
 // contradict each other: each is true of the sender's own copy.
 
-#include "listknowledge.h"
+#include "listfreshness.h"
 
 #include <algorithm>
 
 namespace lacewing {
 
-void noteOwnRead(ListKnowledge &knowledge, std::int64_t offset, TimePoint readStart)
+void recordOwnRead(ListFreshness &knowledge, std::int64_t offset, TimePoint readStart)
 {
     knowledge.offset = std::max(knowledge.offset, offset);
     if (readStart > knowledge.current) {
@@ -16,13 +16,13 @@
     }
 }
 
-bool follows(const ListKnowledge &knowledge, const ListStatement &statement)
+bool follows(const ListFreshness &knowledge, const ListAnnouncement &statement)
 {
     const bool known = knowledge.offset != noOffset && statement.previous != noOffset;
     return known && knowledge.offset >= statement.previous;
 }
 
-void noteStatement(ListKnowledge &knowledge, const ListStatement &statement, const VmId &source)
+void recordStatement(ListFreshness &knowledge, const ListAnnouncement &statement, const VmId &source)
 {
     const bool hasPrevious = statement.previous != noOffset;
     knowledge.requiredOffset = std::max(knowledge.requiredOffset, hasPrevious ? statement.previous : statement.offset);
@@ -37,36 +37,36 @@
     }
 }
 
-void breakChain(ListChain &chain)
+void resetChain(ListChain &chain)
 {
     chain.announcedOffset = noOffset;
 }
 
-void beginChain(ListChain &chain, const ListKnowledge &knowledge)
+void startChain(ListChain &chain, const ListFreshness &knowledge)
 {
     chain.announcedOffset = knowledge.offset;
 }
 
-void noteToldByOther(ListChain &chain, std::int64_t before, const ListKnowledge &knowledge)
+void recordUpdateFromOther(ListChain &chain, std::int64_t before, const ListFreshness &knowledge)
 {
     if (knowledge.offset > before) {
         chain.announcedOffset = knowledge.offset;
     }
 }
 
-ListStatement nextStatement(ListChain &chain, const ListKnowledge &knowledge, bool changes)
+ListAnnouncement nextAnnouncement(ListChain &chain, const ListFreshness &knowledge, bool changes)
 {
     if (chain.announcedOffset == noOffset) {
         chain.announcedOffset = knowledge.offset;
     }
-    const ListStatement statement {chain.announcedOffset, knowledge.offset, knowledge.current};
+    const ListAnnouncement statement {chain.announcedOffset, knowledge.offset, knowledge.current};
     if (changes) {
         chain.announcedOffset = knowledge.offset;
     }
     return statement;
 }
 
-bool isCovered(const ListKnowledge &knowledge, TimePoint now)
+bool isCovered(const ListFreshness &knowledge, TimePoint now)
 {
     return knowledge.offset >= knowledge.requiredOffset && now - knowledge.newestOwnerRead < readValidity;
 }
--- a/lacewing/listknowledge.h
+++ b/lacewing/listfreshness.h
@@ -37,12 +37,12 @@
 struct ListRead {
     std::int64_t offset = noOffset; ///< end of the part that was read
     Duration age {0}; ///< time since the read was started
-    bool afresh
+    bool relisted
         = false; ///< all endpoints were listed anew: those that came and went since the previous read were not seen
 };
 
 /// State of this VM's copy of the list.
-struct ListKnowledge {
+struct ListFreshness {
     std::int64_t offset = noOffset; ///< all changes before this offset are known; noOffset: the list was never read
     std::int64_t requiredOffset = noOffset; ///< offset that this VM must know to rely on the owners' announcements
     TimePoint current; ///< all changes that were acknowledged up to this time are known
@@ -58,7 +58,7 @@
 
 /// An owner's announcement on its own copy. A VM that knows the list up to `previous`, and takes in the changes that
 /// come with the announcement, knows the list up to `offset`, as of `read`.
-struct ListStatement {
+struct ListAnnouncement {
     std::int64_t previous = noOffset; ///< noOffset: not stated, so no VM can rely on the announcement
     std::int64_t offset = noOffset;
     TimePoint read; ///< start of the owner's read, by this VM's clock
@@ -68,45 +68,45 @@
 /// @param knowledge updated
 /// @param offset end of the part that was read
 /// @param readStart when the read was started
-void noteOwnRead(ListKnowledge &knowledge, std::int64_t offset, TimePoint readStart);
+void recordOwnRead(ListFreshness &knowledge, std::int64_t offset, TimePoint readStart);
 
 /// @param knowledge of this VM
 /// @param statement announcement of an owner
 /// @return whether this VM knows all changes before those of the announcement
-bool follows(const ListKnowledge &knowledge, const ListStatement &statement);
+bool follows(const ListFreshness &knowledge, const ListAnnouncement &statement);
 
 /// Records an owner's announcement.
 /// @param knowledge updated
 /// @param statement the announcement; the caller has applied the changes that came with it
 /// @param source VM that sent it
-void noteStatement(ListKnowledge &knowledge, const ListStatement &statement, const VmId &source);
+void recordStatement(ListFreshness &knowledge, const ListAnnouncement &statement, const VmId &source);
 
 /// Resets the chain after this VM has listed all endpoints anew. It then does not know what changed, so VMs that know
 /// less must read the list themselves.
 /// @param chain updated
-void breakChain(ListChain &chain);
+void resetChain(ListChain &chain);
 
 /// Starts the chain when this VM becomes an owner. Its earlier reads were announced to no VM, so only VMs that already
 /// know as much can rely on it; the others read the list themselves.
 /// @param chain updated
 /// @param knowledge of this VM
-void beginChain(ListChain &chain, const ListKnowledge &knowledge);
+void startChain(ListChain &chain, const ListFreshness &knowledge);
 
 /// Updates the chain after an announcement of another VM that also considers itself the owner.
 /// @param chain updated
 /// @param before offset that this VM knew before the announcement
 /// @param knowledge of this VM after it
-void noteToldByOther(ListChain &chain, std::int64_t before, const ListKnowledge &knowledge);
+void recordUpdateFromOther(ListChain &chain, std::int64_t before, const ListFreshness &knowledge);
 
 /// @param chain updated
 /// @param knowledge of this VM, an owner that has read the list
 /// @param changes whether the announcement carries changes: all since the last announcement with changes
 /// @return the next announcement
-ListStatement nextStatement(ListChain &chain, const ListKnowledge &knowledge, bool changes);
+ListAnnouncement nextAnnouncement(ListChain &chain, const ListFreshness &knowledge, bool changes);
 
 /// @param knowledge of this VM
 /// @param now current time
 /// @return whether this VM can rely on an owner's reads instead of its own
-bool isCovered(const ListKnowledge &knowledge, TimePoint now);
+bool isCovered(const ListFreshness &knowledge, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/loadcontroller.cpp
+++ b/lacewing/loadcontroller.cpp
@@ -86,7 +86,7 @@
     owned.slots.erase(event.adapter);
     actions.push_back(Count {Counter::LoadFailures, 1});
     if (event.code == ResultCode::EndpointUnhealthy || event.code == ResultCode::StaleFencing) {
-        noteEndpointFailure(owned, event.endpoint, true, now);
+        recordEndpointFailure(owned, event.endpoint, true, now);
     }
     const auto found = owned.wanted.find(event.adapter);
     if (found == owned.wanted.end()) {
@@ -113,7 +113,7 @@
     slot.phase = SlotPhase::Resident;
     slot.changed = now;
     noteResident(blackboard, event.endpoint, event.adapter, true, now);
-    noteEndpointFailure(owned, event.endpoint, event.code != ResultCode::LoadFailed, now);
+    recordEndpointFailure(owned, event.endpoint, event.code != ResultCode::LoadFailed, now);
 }
 
 void logOrder(const OrderEnded &event, Actions &actions)
--- a/lacewing/logline.cpp
+++ b/lacewing/logline.cpp
@@ -36,7 +36,7 @@
 
 std::string escapeLogValue(std::string_view value)
 {
-    const std::string_view shown = value.substr(0, longestLogValue);
+    const std::string_view shown = value.substr(0, maxLogValueBytes);
     bool bare = !shown.empty() && shown.size() == value.size();
     for (const char character : shown) {
         bare = bare && isBare(character);
--- a/lacewing/logline.h
+++ b/lacewing/logline.h
@@ -18,7 +18,7 @@
 using LogField = std::pair<std::string_view, std::string>;
 
 /// Values are truncated to this many bytes and end with "..." then.
-constexpr std::size_t longestLogValue = 1024;
+constexpr std::size_t maxLogValueBytes = 1024;
 
 /// @param value any bytes
 /// @return the value unchanged, or quoted with escapes where necessary
--- a/lacewing/netaddress.cpp
+++ b/lacewing/netaddress.cpp
@@ -108,14 +108,14 @@
     return waiting;
 }
 
-bool closedByOther(Tcp::socket &socket)
+bool closedByPeer(Tcp::socket &socket)
 {
     const ssize_t size = peek(socket);
     const bool noDataYet = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
     return size <= 0 && !noDataYet;
 }
 
-bool hasUnread(Tcp::socket &socket)
+bool hasUnreadData(Tcp::socket &socket)
 {
     return peek(socket) > 0;
 }
--- a/lacewing/netaddress.h
+++ b/lacewing/netaddress.h
@@ -59,11 +59,11 @@
 /// Checks a connection without consuming data.
 /// @param socket a connected socket, in non-blocking mode or not
 /// @return whether the peer has closed the connection or it is broken
-bool closedByOther(Tcp::socket &socket);
+bool closedByPeer(Tcp::socket &socket);
 
 /// Checks a connection without consuming data.
 /// @param socket a connected socket, in non-blocking mode or not
 /// @return whether received bytes have not been read yet
-bool hasUnread(Tcp::socket &socket);
+bool hasUnreadData(Tcp::socket &socket);
 
 } // namespace lacewing
--- a/lacewing/placementowner.cpp
+++ b/lacewing/placementowner.cpp
@@ -115,14 +115,14 @@
         PlacedEndpoint &endpoint = this->state.endpoints[id];
         if (isNew) { // the state of a new incarnation comes from its first report, not from the previous one
             endpoint = PlacedEndpoint {};
-            endpoint.heldBefore = known.heldBefore;
+            endpoint.rememberedAdapters = known.rememberedAdapters;
             this->reportPending[id] = false;
         }
         endpoint.incarnationStart = known.entry.born;
         endpoint.service = known.entry.service;
         endpoint.address = known.entry.address;
         endpoint.slots = std::max(1, known.entry.slots);
-        const bool isShunned = !takesPlacement(fleet, known, this->now());
+        const bool isShunned = !acceptsPlacement(fleet, known, this->now());
         if (known.entry.leaving) {
             endpoint.ready = false;
         } else if (isShunned != endpoint.shunned) {
@@ -137,7 +137,7 @@
     this->requestPlan();
 }
 
-void PlacementOwner::noteDemand(const VmId &vm, const ZoneName &vmZone, const wire::DemandReport &report)
+void PlacementOwner::recordDemand(const VmId &vm, const ZoneName &vmZone, const wire::DemandReport &report)
 {
     this->demands[vm] = {vmZone, report, this->now()};
     this->requestPlan();
@@ -302,7 +302,8 @@
         endpoint.orders = order.expectedOrders + 1;
         const auto held = endpoint.held.find(weights);
         if (held != endpoint.held.end()) {
-            rememberUnloaded(endpoint.heldBefore, weights, {held->second.version, time}, this->maxRemembered(endpoint));
+            rememberUnloaded(endpoint.rememberedAdapters, weights, {held->second.version, time},
+                             this->maxRemembered(endpoint));
             endpoint.held.erase(held);
         }
         this->updates.recordLost(order.endpoint, weights);
@@ -334,7 +335,7 @@
         endpoint.busy = true;
         this->schedulePoll(order.endpoint, pollInterval);
     } else {
-        const bool fast = findRemembered(endpoint.heldBefore, weightsOf(order), order.version) != nullptr;
+        const bool fast = findRemembered(endpoint.rememberedAdapters, weightsOf(order), order.version) != nullptr;
         this->scheduleCheck(order, endpoint.incarnationStart, fast ? fastLoadDelay : firstCheckDelay(this->loadTime));
     }
 }
@@ -349,12 +350,12 @@
                  {{"endpoint", order.endpoint},
                   {"weights", weights},
                   {"took_ms", std::to_string(toMilliseconds(time - loading->second.since))}});
-        if (findRemembered(endpoint.heldBefore, weights, order.version) == nullptr) {
+        if (findRemembered(endpoint.rememberedAdapters, weights, order.version) == nullptr) {
             this->recordLoadTime(time - loading->second.since);
         }
         endpoint.loading.erase(loading);
     }
-    endpoint.heldBefore.erase(weights);
+    endpoint.rememberedAdapters.erase(weights);
     endpoint.held[weights] = {std::max(1, order.version), time, 0};
     this->updates.recordGained(order.endpoint, weights, std::max(1, order.version));
 }
@@ -374,7 +375,7 @@
     return this->withOwnerFields(this->updates.nextNotice(this->state.endpoints));
 }
 
-std::vector<wire::PlacementNotice> PlacementOwner::newsSince(std::int64_t known)
+std::vector<wire::PlacementNotice> PlacementOwner::updatesSince(std::int64_t known)
 {
     std::vector<wire::PlacementNotice> notices = this->updates.noticesSince(this->state.endpoints, known);
     for (wire::PlacementNotice &notice : notices) {
--- a/lacewing/placementowner.h
+++ b/lacewing/placementowner.h
@@ -3,7 +3,7 @@
 //   PlacementOwner owner(context, clock, port, zone);
 //   owner.begin(fencing);       // when this VM's claim to the zone becomes usable
 //   owner.sync(fleet, config, versions);
-//   owner.noteDemand(vm, zone, report);
+//   owner.recordDemand(vm, zone, report);
 //   owner.end();                // when the claim is lost or no longer usable
 //
 // adapterplan decides what to order. This class sends the orders and keeps the state up to date from reports and
@@ -22,7 +22,7 @@
 
 #include "adapterplan.h"
 #include "lacewing_types.h"
-#include "placementnews.h"
+#include "placementupdates.h"
 #include "platformport.h"
 
 namespace lacewing {
@@ -55,7 +55,7 @@
     /// @param vm VM that sent the report
     /// @param vmZone zone of this VM
     /// @param report what its requests run on and wait for
-    void noteDemand(const VmId &vm, const ZoneName &vmZone, const wire::DemandReport &report);
+    void recordDemand(const VmId &vm, const ZoneName &vmZone, const wire::DemandReport &report);
     /// @param vm VM that has left the deployment
     void forgetVm(const VmId &vm);
 
@@ -66,7 +66,7 @@
     wire::PlacementNotice nextNotice();
     /// @param known number up to which a VM has all updates of this owner
     /// @return the updates that the VM has missed
-    std::vector<wire::PlacementNotice> newsSince(std::int64_t known);
+    std::vector<wire::PlacementNotice> updatesSince(std::int64_t known);
 
     /// Called with the changes of what endpoints hold, collected over some milliseconds.
     std::function<void(const wire::PlacementNotice &)> onChanged;
--- a/lacewing/placementreports.cpp
+++ b/lacewing/placementownerreports.cpp
@@ -150,7 +150,7 @@
     }
     endpoint.held = std::move(held);
     std::map<std::string, LoadingAdapter> loading;
-    for (const auto &[weights, version] : report.coming) {
+    for (const auto &[weights, version] : report.loading) {
         const auto known = endpoint.loading.find(weights);
         loading[weights] = known == endpoint.loading.end() ? LoadingAdapter {version, time} : known->second;
         if (known == endpoint.loading.end()) {
--- a/lacewing/placementnews.cpp
+++ b/lacewing/placementupdates.cpp
@@ -1,6 +1,6 @@
 // Changes of an endpoint that is not ready are kept until it is ready again, because its state is being read again.
 
-#include "placementnews.h"
+#include "placementupdates.h"
 
 #include <algorithm>
 
--- a/lacewing/platformport.h
+++ b/lacewing/platformport.h
@@ -40,7 +40,7 @@
     std::int64_t orders = 0;
     bool busy = false;
     HeldVersions held;
-    HeldVersions coming;
+    HeldVersions loading;
     std::int32_t running = 0;
     std::int32_t queued = 0;
 };
--- a/lacewing/promptpacing.cpp
+++ b/lacewing/promptpacing.cpp
@@ -108,7 +108,7 @@
     return queue.prefillSpeed.baseMilliseconds + prefillTime <= promptGapShare * inMilliseconds(limits.maxGap);
 }
 
-void learnReading(PromptQueue &queue, std::int32_t tokens, Duration took)
+void recordPrefillTime(PromptQueue &queue, std::int32_t tokens, Duration took)
 {
     if (took.count() <= 0) {
         return;
--- a/lacewing/promptpacing.h
+++ b/lacewing/promptpacing.h
@@ -120,6 +120,6 @@
 /// @param queue modified
 /// @param tokens number of tokens of the prompt
 /// @param took time from sending the prompt to its first event; ignored unless positive
-void learnReading(PromptQueue &queue, std::int32_t tokens, Duration took);
+void recordPrefillTime(PromptQueue &queue, std::int32_t tokens, Duration took);
 
 } // namespace lacewing
--- a/lacewing/queuecontroller.cpp
+++ b/lacewing/queuecontroller.cpp
@@ -82,7 +82,7 @@
         refuseQueued(owned, *lastPatient(owned), ResultCode::QueueFull, Duration(0), actions);
     }
     ++owned.memberOpen[event.offer.member];
-    noteDemand(blackboard.owner, event.offer.adapter, now);
+    recordDemand(blackboard.owner, event.offer.adapter, now);
     enqueueOffer(owned, makeQueued(event, owned, now));
     actions.push_back(AcceptOffer {event.from, attempt});
     dispatchEndpoint(blackboard, found->first, now, actions);
@@ -157,9 +157,9 @@
     } else if (refused && code == ResultCode::EndpointLeaving) {
         owned.leaving = true;
     } else if (refused && (code == ResultCode::EndpointUnhealthy || code == ResultCode::StaleFencing)) {
-        noteEndpointFailure(owned, event.endpoint, true, now);
+        recordEndpointFailure(owned, event.endpoint, true, now);
     } else if (interrupted && !run.stopping) {
-        noteEndpointFailure(owned, event.endpoint, false, now);
+        recordEndpointFailure(owned, event.endpoint, false, now);
     }
 }
 
--- a/lacewing/relay.cpp
+++ b/lacewing/relay.cpp
@@ -88,14 +88,14 @@
     this->service = chooseService(*this->route, draw);
     const ServiceSpec *spec = findService(*this->config, this->service);
     if (spec != nullptr && spec->engine && !this->info.model.empty()) {
-        this->gapLimits = {this->route->longestGap, spec->engine->tokensPerEvent};
+        this->gapLimits = {this->route->maxGap, spec->engine->tokensPerEvent};
         this->weights = this->info.adapter.empty() ? this->info.model : this->info.model + "/" + this->info.adapter;
     }
     const std::string_view host = findHeader(this->head.headers, "host");
     this->digest = digestOf({this->head.method, host, this->head.target, this->weights}, this->body);
-    const Duration patience = this->info.patience.value_or(this->route->timeout) - answerMargin;
-    this->deadline = this->arrived + std::min(patience, this->route->timeout);
-    const Duration silenceLimit = this->route->silencePatience;
+    const Duration callerTimeout = this->info.callerTimeout.value_or(this->route->timeout) - answerMargin;
+    this->deadline = this->arrived + std::min(callerTimeout, this->route->timeout);
+    const Duration silenceLimit = this->route->silenceTimeout;
     const Duration maxTimeToFirstByte = silenceLimit.count() > 0 ? silenceLimit : this->deadline - this->arrived;
     this->versionGrace = oldVersionGrace(this->gateway.settings.versionBound, maxTimeToFirstByte);
     this->setTimer(this->deadlineTimer, this->deadline - this->arrived, &Relay::onDeadline);
@@ -109,7 +109,7 @@
         return;
     }
     const TimePoint now = this->gateway.now();
-    EndpointNeed need;
+    EndpointRequirements need;
     need.service = this->service;
     need.weights = this->weights;
     need.oldestVersion = oldestUsableVersion(this->gateway.versionsNamed, this->weights, this->versionGrace, now);
@@ -145,7 +145,7 @@
     }
     this->joinQueue(choice.endpoint);
     const PromptQueue &queue = this->gateway.fleetState.endpoints.at(choice.endpoint).prompts;
-    const Duration left = turnAgeLimit(this->route->latencyObjective) - this->age();
+    const Duration left = maxPacedAge(this->route->latencyObjective) - this->age();
     if (left.count() <= 0 || maySendPrompt(queue, this->queuedPrompt(), this->gapLimits, this->gateway.now())) {
         this->pacingDelay = this->pacedTo.empty() ? Duration {0} : this->gateway.now() - this->pacedSince;
         this->pacedTo.clear();
@@ -156,18 +156,18 @@
         this->pacedSince = this->gateway.now();
     }
     this->pacedTo = choice.endpoint;
-    this->setTimer(this->paceTimer, std::min(left, pacingCheckInterval), &Relay::lookForTurn);
+    this->setTimer(this->paceTimer, std::min(left, pacingCheckInterval), &Relay::recheckPacing);
     return true;
 }
 
-void Relay::lookForTurn()
+void Relay::recheckPacing()
 {
     if (!this->done && !this->pacedTo.empty()) {
         this->run([this] { this->place(); });
     }
 }
 
-const EndpointName &Relay::pacedAt() const
+const EndpointName &Relay::pacedEndpoint() const
 {
     return this->pacedTo;
 }
@@ -207,25 +207,25 @@
     prompt.ticket = this->ticket;
     prompt.ended = ended;
     prompt.readMicroseconds = static_cast<std::int32_t>(took.count());
-    this->gateway.notePrompt(prompt);
-    if (this->gateway.onPrompt) {
-        this->gateway.onPrompt(prompt);
+    this->gateway.applyPromptUpdate(prompt);
+    if (this->gateway.onPromptUpdate) {
+        this->gateway.onPromptUpdate(prompt);
     }
 }
 
 void Relay::waitFor(const EndpointChoice &choice)
 {
     if (choice.result == ChoiceResult::Limited) {
-        const bool retryTimeKnown = choice.untilRoom.count() > 0;
-        this->sendGatewayAnswer(ResultCode::QueueFull, retryTimeKnown ? choice.untilRoom : refusedRetryAfter);
+        const bool retryTimeKnown = choice.untilCapacity.count() > 0;
+        this->sendGatewayAnswer(ResultCode::QueueFull, retryTimeKnown ? choice.untilCapacity : refusedRetryAfter);
         return;
     }
     if (choice.result == ChoiceResult::NoEndpoint || this->weights.empty()) {
         this->sendGatewayAnswer(ResultCode::NoEndpoint, refusedRetryAfter);
         return;
     }
-    if (choice.untilRoom.count() > 0) {
-        this->gateway.wakeAfter(choice.untilRoom);
+    if (choice.untilCapacity.count() > 0) {
+        this->gateway.scheduleWakeup(choice.untilCapacity);
     }
     if (!this->awaitedWeights.empty()) {
         return;
@@ -233,8 +233,8 @@
     this->awaitedWeights = this->weights;
     const TimePoint now = this->gateway.now();
     Duration left = this->deadline - now;
-    if (this->route->silencePatience.count() > 0) {
-        left = std::min(left, this->route->silencePatience - this->age());
+    if (this->route->silenceTimeout.count() > 0) {
+        left = std::min(left, this->route->silenceTimeout - this->age());
     }
     const Duration limit = adapterWaitLimit(left, this->route->latencyObjective);
     logEvent("request_waits",
@@ -243,12 +243,12 @@
               {"held", choice.result == ChoiceResult::AllFull ? "full" : "no"},
               {"limit_ms", inMilliseconds(limit)}});
     this->setTimer(this->waitTimer, limit, &Relay::onWaitLimit);
-    if (this->gateway.onWanted) {
-        this->gateway.onWanted();
+    if (this->gateway.onDemandChanged) {
+        this->gateway.onDemandChanged();
     }
 }
 
-void Relay::lookAgain()
+void Relay::retryPlacement()
 {
     if (!this->done && !this->awaitedWeights.empty()) {
         this->run([this] { this->place(); });
@@ -282,14 +282,14 @@
     this->incarnationStart = target.entry.born;
     target.ownRunning += 1;
     this->countedAsSuspect = this->suspicion() == Suspicion::Suspected;
-    target.ownSuspects += this->countedAsSuspect ? 1 : 0;
-    this->gateway.noteSend(choice.endpoint);
+    target.ownCrashSuspects += this->countedAsSuspect ? 1 : 0;
+    this->gateway.recordSend(choice.endpoint);
     this->gateway.inUse[this->endpoint][this->weights] += 1;
     HttpRequestHead sent = this->head;
     dropConnectionHeaders(sent.headers);
     SendInfo send;
-    const Duration patience = this->info.patience.value_or(this->route->timeout);
-    send.patience = std::min(patience, this->route->timeout) - (now - this->arrived);
+    const Duration callerTimeout = this->info.callerTimeout.value_or(this->route->timeout);
+    send.callerTimeout = std::min(callerTimeout, this->route->timeout) - (now - this->arrived);
     send.endpoint = choice.endpoint;
     send.version = this->info.adapter.empty() ? 0 : choice.version;
     send.urgency = this->route->rank;
@@ -357,7 +357,7 @@
     if (isIncarnation(this->gateway.fleetState, this->endpoint, this->incarnationStart)) {
         FleetEndpoint &released = this->gateway.fleetState.endpoints.at(this->endpoint);
         released.ownRunning = std::max(0, released.ownRunning - 1);
-        released.ownSuspects -= this->countedAsSuspect ? 1 : 0;
+        released.ownCrashSuspects -= this->countedAsSuspect ? 1 : 0;
         const auto used = this->gateway.inUse.find(this->endpoint);
         if (used != this->gateway.inUse.end() && --used->second[this->weights] <= 0) {
             used->second.erase(this->weights);
--- a/lacewing/relay.h
+++ b/lacewing/relay.h
@@ -40,11 +40,11 @@
     /// Selects the route and starts to place the request.
     void start();
     /// Tries again to place a request that waits for its weights; called when the state of the endpoints has changed.
-    void lookAgain();
+    void retryPlacement();
     /// Ends the request because the caller closed its connection.
     void cancel();
     /// Ends the request if the crash ledger has proven that it crashes endpoints.
-    void endIfProven();
+    void endIfProvenToCrash();
     /// Ends the request with an answer that the gateway generates.
     /// @param wanted reason; replaced by OutcomeUnknown if it implies that the request has not run and that is not
     /// certain
@@ -52,9 +52,9 @@
     void sendGatewayAnswer(ResultCode wanted, Duration retryAfter);
 
     /// Checks again whether the prompt may be sent; called when prompts ahead of it have left the queue.
-    void lookForTurn();
+    void recheckPacing();
     /// @return endpoint whose prompt queue delays this request; empty if it is not delayed
-    const EndpointName &pacedAt() const;
+    const EndpointName &pacedEndpoint() const;
 
     /// @return weights that the request waits for; empty if it does not wait
     const std::string &waitingFor() const;
@@ -133,7 +133,7 @@
     TimePoint pacedSince; ///< start of the pacing delay
     Duration pacingDelay {0}; ///< length of the pacing delay
     bool noPromptsAhead = false; ///< the queue was empty ahead of the prompt when it was sent
-    bool countedAsSuspect = false; ///< counted in the endpoint's ownSuspects
+    bool countedAsSuspect = false; ///< counted in the endpoint's ownCrashSuspects
     bool answerBegun = false;
     bool done = false;
 };
--- a/lacewing/relayanswer.cpp
+++ b/lacewing/relayanswer.cpp
@@ -33,7 +33,7 @@
 
 void Relay::onHead()
 {
-    AnswerReader &answer = this->link->answer();
+    ResponseReader &answer = this->link->answer();
     const AnswerInfo answerInfo = this->gateway.format.readAnswer(answer.head);
     if (answerInfo.keepAlive) {
         this->link->keepAlive = *answerInfo.keepAlive;
@@ -48,7 +48,7 @@
         return;
     }
     if (isIncarnation(this->gateway.fleetState, this->endpoint, this->incarnationStart)) {
-        this->gateway.noteLimit(this->endpoint, answerInfo, answerInfo.genuine && answer.head.status < 300);
+        this->gateway.recordLimit(this->endpoint, answerInfo, answerInfo.fromEndpoint && answer.head.status < 300);
     }
     FleetEndpoint *target = nullptr;
     if (const auto found = this->gateway.fleetState.endpoints.find(this->endpoint);
@@ -70,22 +70,22 @@
         this->attemptEnded(AttemptEnding::NotRun, "status_" + std::to_string(answer.head.status));
         return;
     }
-    if (!answerInfo.genuine || answerInfo.id != this->info.id) {
+    if (!answerInfo.fromEndpoint || answerInfo.id != this->info.id) {
         this->link->close();
         this->onFailure(LinkFailure::Broken);
         return;
     }
-    this->gateway.crashes.noteAnswer(this->endpoint, this->incarnationStart, this->sentAt);
+    this->gateway.crashes.recordAnswer(this->endpoint, this->incarnationStart, this->sentAt);
     const bool failed = answer.head.status >= 500;
     if (failed) {
-        this->gateway.noteEndpointFailure(this->endpoint, EndpointFailure::Error, this->info.id);
+        this->gateway.recordEndpointFailure(this->endpoint, EndpointFailure::Error, this->info.id);
     } else {
-        this->gateway.noteEndpointSuccess(this->endpoint);
+        this->gateway.recordEndpointSuccess(this->endpoint);
     }
     if (failed && this->retryFailed(answer.head.status)) {
         return;
     }
-    HttpAnswerHead relayedHead = answer.head;
+    HttpResponseHead relayedHead = answer.head;
     dropConnectionHeaders(relayedHead.headers);
     this->answerBegun = true;
     this->history.answerBegun = true;
@@ -119,7 +119,7 @@
 
 void Relay::relayBody()
 {
-    AnswerReader &answer = this->link->answer();
+    ResponseReader &answer = this->link->answer();
     const std::string bytes = answer.takeBody();
     this->recordBodyBytes(!bytes.empty());
     if (this->head.method != "HEAD") {
@@ -131,7 +131,7 @@
     if (answer.complete()) {
         this->gateway.counts.answered += 1;
         if (answer.head.status < 300) {
-            this->gateway.crashes.noteCompletion(this->digest);
+            this->gateway.crashes.recordCompletion(this->digest);
         }
         logEvent("request_answered",
                  {{"id", this->info.id},
--- a/lacewing/relayend.cpp
+++ b/lacewing/relayend.cpp
@@ -21,7 +21,7 @@
         this->recordBrokenConnection(address);
     }
     const auto kind = failure == LinkFailure::NotConnected ? EndpointFailure::Connect : EndpointFailure::Broken;
-    this->gateway.noteEndpointFailure(this->endpoint, kind, this->info.id);
+    this->gateway.recordEndpointFailure(this->endpoint, kind, this->info.id);
     if (this->answerBegun) {
         this->abortAnswer("endpoint_broke_off");
         return;
@@ -38,9 +38,9 @@
 
 void Relay::recordBrokenConnection(const std::string &address)
 {
-    const bool late = this->timeToFirstByte.count() > 0 && this->age() - this->timeToFirstByte >= crashOnset;
-    this->gateway.crashes.noteBroken({this->endpoint, this->incarnationStart, this->service, address}, this->digest,
-                                     late);
+    const bool late = this->timeToFirstByte.count() > 0 && this->age() - this->timeToFirstByte >= earlyCrashWindow;
+    this->gateway.crashes.recordBrokenConnection({this->endpoint, this->incarnationStart, this->service, address},
+                                                 this->digest, late);
 }
 
 bool Relay::refuseIfProvenCrashing()
@@ -48,12 +48,12 @@
     if (this->suspicion() != Suspicion::Proven) {
         return false;
     }
-    this->gateway.crashes.noteRefusal(this->digest);
+    this->gateway.crashes.recordRefusal(this->digest);
     this->sendGatewayAnswer(ResultCode::CrashesEndpoints, Duration {0});
     return true;
 }
 
-void Relay::endIfProven()
+void Relay::endIfProvenToCrash()
 {
     if (this->done || this->suspicion() != Suspicion::Proven) {
         return;
@@ -135,7 +135,7 @@
 {
     const bool sent = this->history.mayHaveRun > 0 || !this->endpoint.empty();
     if (this->link && !this->answerBegun) {
-        this->gateway.noteEndpointFailure(this->endpoint, EndpointFailure::Silent, this->info.id);
+        this->gateway.recordEndpointFailure(this->endpoint, EndpointFailure::TimedOut, this->info.id);
     }
     if (this->link) {
         this->link->close();
@@ -176,7 +176,7 @@
               {"weights", this->weights},
               {"sends", std::to_string(this->history.sends)},
               {"age_ms", inMilliseconds(this->age())}});
-    HttpAnswerHead answer;
+    HttpResponseHead answer;
     answer.status = result.httpStatus;
     answer.reason = result.type;
     answer.headers = this->gateway.format.ownAnswerHeaders(this->info, code == wanted ? retryAfter : Duration {0});
--- a/lacewing/heldbefore.cpp
+++ b/lacewing/rememberedadapters.cpp
@@ -1,12 +1,12 @@
 // Endpoints don't report the contents of their host memory, so it is derived from the unloads they were ordered to do.
 
-#include "heldbefore.h"
+#include "rememberedadapters.h"
 
 #include <algorithm>
 
 namespace lacewing {
 
-void rememberUnloaded(HeldBefore &remembered, std::string_view weights, const RememberedAdapter &adapter,
+void rememberUnloaded(RememberedAdapters &remembered, std::string_view weights, const RememberedAdapter &adapter,
                       std::size_t maxCount)
 {
     remembered[std::string(weights)] = adapter;
@@ -19,7 +19,8 @@
     remembered.erase(oldest);
 }
 
-const RememberedAdapter *findRemembered(const HeldBefore &remembered, std::string_view weights, std::int32_t minVersion)
+const RememberedAdapter *findRemembered(const RememberedAdapters &remembered, std::string_view weights,
+                                        std::int32_t minVersion)
 {
     const auto found = remembered.find(weights);
     return found == remembered.end() || found->second.version < minVersion ? nullptr : &found->second;
--- a/lacewing/heldbefore.h
+++ b/lacewing/rememberedadapters.h
@@ -24,23 +24,23 @@
 };
 
 /// Keys are MODEL/ADAPTER.
-using HeldBefore = std::map<std::string, RememberedAdapter, std::less<>>;
+using RememberedAdapters = std::map<std::string, RememberedAdapter, std::less<>>;
 
 /// Remembered adapters for each adapter place of an endpoint; six per place were still fast to load.
 constexpr std::size_t rememberedPerPlace = 6;
 /// Maximum for an endpoint whose number of places is not known: 30 places is the largest number seen.
-constexpr std::size_t mostRemembered = 180;
+constexpr std::size_t maxRememberedAdapters = 180;
 
 /// Records an unloaded adapter. If there are more than the maximum, removes the one that was unloaded first.
 /// @param weights MODEL/ADAPTER
 /// @param maxCount maximum number of remembered adapters
-void rememberUnloaded(HeldBefore &remembered, std::string_view weights, const RememberedAdapter &adapter,
+void rememberUnloaded(RememberedAdapters &remembered, std::string_view weights, const RememberedAdapter &adapter,
                       std::size_t maxCount);
 
 /// @param weights MODEL/ADAPTER
 /// @param minVersion oldest version that is usable
 /// @return the remembered adapter, or null if there is none of a usable version
-const RememberedAdapter *findRemembered(const HeldBefore &remembered, std::string_view weights,
+const RememberedAdapter *findRemembered(const RememberedAdapters &remembered, std::string_view weights,
                                         std::int32_t minVersion);
 
 } // namespace lacewing
--- a/lacewing/requestformat.h
+++ b/lacewing/requestformat.h
@@ -17,17 +17,17 @@
 /// Metadata of a caller's request.
 struct RequestInfo {
     std::string id; ///< identifies this attempt of the caller
-    std::optional<Duration> patience; ///< how long the caller waits for the answer
+    std::optional<Duration> callerTimeout; ///< how long the caller waits for the answer
     std::string model;
     std::string adapter; ///< empty: the base model
     std::int32_t promptTokens = 0;
-    std::int32_t mostOutputTokens = 0;
-    std::string sharedPart; ///< last section of the prompt that is shared with other requests; empty: none
+    std::int32_t maxOutputTokens = 0;
+    std::string sharedPromptPrefix; ///< last section of the prompt that is shared with other requests; empty: none
 };
 
 /// Metadata that the gateway adds to a request that it sends to an endpoint.
 struct SendInfo {
-    Duration patience {0}; ///< how long the caller still waits
+    Duration callerTimeout {0}; ///< how long the caller still waits
     EndpointName endpoint; ///< the only endpoint that may run the request
     std::int32_t version = 0; ///< of the adapter; 0: any
     std::int32_t urgency = 0; ///< 0 is the most urgent
@@ -36,7 +36,7 @@
 /// Metadata of an endpoint's answer.
 struct AnswerInfo {
     std::string id; ///< of the request that is answered; empty: not stated
-    bool genuine = false; ///< carries the marker that only an endpoint sets in its own answers
+    bool fromEndpoint = false; ///< carries the marker that only an endpoint sets in its own answers
     bool notRun = false; ///< the endpoint states that the request has not run
     std::optional<double> limit; ///< requests per second that the endpoint accepts from all VMs together; not
                                  ///< range-checked, NaN: unparsable
@@ -46,7 +46,7 @@
 struct RequestFormat {
     RequestInfo (*readRequest)(const HttpRequestHead &head) = nullptr;
     void (*writeRequest)(HttpRequestHead &head, const SendInfo &info) = nullptr;
-    AnswerInfo (*readAnswer)(const HttpAnswerHead &head) = nullptr;
+    AnswerInfo (*readAnswer)(const HttpResponseHead &head) = nullptr;
     /// Headers of an answer that the gateway generates.
     HttpHeaders (*ownAnswerHeaders)(const RequestInfo &info, Duration retryAfter) = nullptr;
 };
--- a/lacewing/routeconfig.h
+++ b/lacewing/routeconfig.h
@@ -43,8 +43,8 @@
     std::int32_t mostAttempts = 1; ///< maximum endpoints that may run one attempt of the caller
     bool resumable = false; ///< a broken stream may continue at another endpoint
     bool sticky = false; ///< the route's prompts share parts that endpoints cache
-    Duration longestGap {0}; ///< maximum gap between two events of a stream that meets its target
-    Duration silencePatience {0}; ///< callers abandon a stream without events for longer than this; 0: unknown
+    Duration maxGap {0}; ///< maximum gap between two events of a stream that meets its target
+    Duration silenceTimeout {0}; ///< callers abandon a stream without events for longer than this; 0: unknown
 };
 
 struct ModelSpec {
@@ -67,7 +67,7 @@
 
 struct ServiceSpec {
     ServiceName name;
-    std::int32_t mostConnections = 0; ///< to one endpoint, total of all VMs; 0: no limit
+    std::int32_t maxConnections = 0; ///< to one endpoint, total of all VMs; 0: no limit
     std::optional<EngineSpec> engine; ///< absent for a plain service
 };
 
--- a/lacewing/sharedfailures.cpp
+++ b/lacewing/sharedfailures.cpp
@@ -6,7 +6,7 @@
 
 namespace lacewing {
 
-void noteReport(SharedFailures &failures, const FailureReport &report)
+void recordReport(SharedFailures &failures, const FailureReport &report)
 {
     std::erase_if(failures.reports, [&report](const FailureReport &old) {
         return old.vm == report.vm || report.at - old.at >= reportWindow;
@@ -14,7 +14,7 @@
     failures.reports.push_back(report);
 }
 
-void noteWorks(SharedFailures &failures)
+void clearReports(SharedFailures &failures)
 {
     failures.reports.clear();
     failures.shunnedUntil = TimePoint {};
@@ -59,7 +59,7 @@
     return true;
 }
 
-bool shouldVouch(SharedFailures &failures, TimePoint now)
+bool shouldAnnounceSuccess(SharedFailures &failures, TimePoint now)
 {
     const bool hasReports = !failures.reports.empty() || isShunned(failures, now);
     if (!hasReports || now - failures.lastSuccessAnnounced < announceInterval) {
--- a/lacewing/sharedfailures.h
+++ b/lacewing/sharedfailures.h
@@ -57,11 +57,11 @@
 
 /// @param failures updated
 /// @param report of this VM or another one; replaces an earlier one of the same VM
-void noteReport(SharedFailures &failures, const FailureReport &report);
+void recordReport(SharedFailures &failures, const FailureReport &report);
 
 /// Clears the reports and ends the shunning after a request of this VM or another one has succeeded.
 /// @param failures updated
-void noteWorks(SharedFailures &failures);
+void clearReports(SharedFailures &failures);
 
 /// @param failures of an endpoint
 /// @param endpointZone its zone
@@ -95,6 +95,6 @@
 /// @param failures updated
 /// @param now current time
 /// @return whether to announce the success to the other VMs
-bool shouldVouch(SharedFailures &failures, TimePoint now);
+bool shouldAnnounceSuccess(SharedFailures &failures, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/stallwatch.cpp
+++ b/lacewing/stalldetector.cpp
@@ -1,6 +1,6 @@
 // CLOCK_BOOTTIME includes the time for which the VM was suspended; std::chrono::steady_clock does not.
 
-#include "stallwatch.h"
+#include "stalldetector.h"
 
 #include <ctime>
 
--- a/lacewing/statusserver.cpp
+++ b/lacewing/statusserver.cpp
@@ -50,7 +50,7 @@
     const std::weak_ptr<CallerConnection> weak = connection;
     const auto reply = [weak](const StatusAnswer &result, bool keepAlive) {
         if (const auto client = weak.lock()) {
-            HttpAnswerHead head;
+            HttpResponseHead head;
             head.status = result.status;
             head.reason = result.status == 200 ? "OK" : "no";
             head.headers = {{"Content-Type", "text/plain; charset=utf-8"}};
@@ -65,7 +65,7 @@
         const std::string_view target = head.target;
         reply(this->answer(target.substr(0, target.find('?'))), head.keepAlive);
     };
-    handlers.onUnreadable = [reply](int status) { reply({status, {}}, false); };
+    handlers.onMalformedRequest = [reply](int status) { reply({status, {}}, false); };
     handlers.onClosed = [this, weak] {
         if (const auto closed = weak.lock()) {
             this->connections.erase(closed);
--- a/lacewing/testing/adapterplantest.cpp
+++ b/lacewing/testing/adapterplantest.cpp
@@ -63,7 +63,8 @@
         if (order.action == PlacementAction::Unload) {
             cr_assert_eq(endpoint.held.at(weightsOf(order)).running, 0, "an adapter in use is unloaded");
             endpoint.held.erase(weightsOf(order));
-            rememberUnloaded(endpoint.heldBefore, weightsOf(order), {1, this->now}, rememberedPerPlace * places);
+            rememberUnloaded(endpoint.rememberedAdapters, weightsOf(order), {1, this->now},
+                             rememberedPerPlace * places);
         }
         cr_assert(adaptersPlaced(endpoint) <= places, "more adapters are loaded than there are places");
     }
@@ -73,7 +74,7 @@
         for (auto &[id, endpoint] : this->state.endpoints) {
             for (const auto &[weights, loading] : endpoint.loading) {
                 endpoint.held[weights] = {std::max(1, loading.version), this->now, 0};
-                endpoint.heldBefore.erase(weights);
+                endpoint.rememberedAdapters.erase(weights);
             }
             endpoint.loading.clear();
         }
@@ -197,7 +198,7 @@
 {
     Zone zone(3);
     zone.state.endpoints.at("e1").held["m/a"] = {1, start, 7};
-    nameVersion(zone.state.versions, "m/a", 2, start);
+    recordVersion(zone.state.versions, "m/a", 2, start);
     const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].action, PlacementAction::Load);
@@ -216,7 +217,7 @@
 {
     Zone zone(1);
     zone.state.endpoints.at("e0").held["m/a"] = {1, start, 0};
-    nameVersion(zone.state.versions, "m/a", 2, start);
+    recordVersion(zone.state.versions, "m/a", 2, start);
     const auto orders = zone.planUntilStable();
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].action, PlacementAction::Load);
@@ -348,7 +349,7 @@
 {
     Zone zone(2);
     PlacedEndpoint &before = zone.state.endpoints.at("e0");
-    rememberUnloaded(before.heldBefore, "m/a", {1, start}, rememberedPerPlace * places);
+    rememberUnloaded(before.rememberedAdapters, "m/a", {1, start}, rememberedPerPlace * places);
     for (int number = 0; number < places; ++number) {
         before.held["m/used" + std::to_string(number)] = {1, start, 1};
     }
@@ -369,7 +370,7 @@
 
 Test(adapterplan, aRememberedCopyOfAnOldVersionIsNotUsed)
 {
-    HeldBefore before;
+    RememberedAdapters before;
     rememberUnloaded(before, "m/a", {1, start}, 2);
     cr_assert_not_null(findRemembered(before, "m/a", 1));
     cr_assert_null(findRemembered(before, "m/a", 2));
--- a/lacewing/testing/adapterversionstest.cpp
+++ b/lacewing/testing/adapterversionstest.cpp
@@ -17,7 +17,7 @@
     constexpr Duration grace = milliseconds(2500);
     AdapterVersions versions;
     cr_assert_eq(oldestUsableVersion(versions, "m/a", grace, start), 0);
-    cr_assert(nameVersion(versions, "m/a", 2, start));
+    cr_assert(recordVersion(versions, "m/a", 2, start));
     cr_assert_eq(newestVersion(versions, "m/a"), 2);
     cr_assert_eq(oldestUsableVersion(versions, "m/a", grace, start + grace - Duration(1)), 0);
     cr_assert_eq(oldestUsableVersion(versions, "m/a", grace, start + grace), 2);
@@ -27,9 +27,9 @@
 {
     constexpr Duration grace = milliseconds(2500);
     AdapterVersions versions;
-    nameVersion(versions, "m/a", 5, start);
-    cr_assert_not(nameVersion(versions, "m/a", 4, start + grace));
-    cr_assert_not(nameVersion(versions, "m/a", 5, start + grace));
+    recordVersion(versions, "m/a", 5, start);
+    cr_assert_not(recordVersion(versions, "m/a", 4, start + grace));
+    cr_assert_not(recordVersion(versions, "m/a", 5, start + grace));
     cr_assert_eq(oldestUsableVersion(versions, "m/a", grace, start + grace), 5);
 }
 
@@ -38,15 +38,15 @@
     // Guards against a late start on the old version: a request that was sent 2.2 s after a version was published
     // waited 3.0 s in the queue of its engine and so started 5.2 s after the acknowledgement, 0.2 s later than allowed.
     constexpr Duration allowed = milliseconds(5000);
-    for (const Duration longestStart :
+    for (const Duration maxStartDelay :
          {milliseconds(2000), milliseconds(3200), milliseconds(4000), milliseconds(15000)}) {
-        const Duration grace = oldVersionGrace(allowed, longestStart);
+        const Duration grace = oldVersionGrace(allowed, maxStartDelay);
         AdapterVersions versions;
-        nameVersion(versions, "m/a", 2, start + versionReadTime); // acknowledged at the start
+        recordVersion(versions, "m/a", 2, start + versionReadTime); // acknowledged at the start
         for (Duration sent {0}; sent < allowed; sent += milliseconds(10)) {
             const bool mayUseOld
                 = sent >= versionReadTime && oldestUsableVersion(versions, "m/a", grace, start + sent) == 0;
-            cr_assert(!mayUseOld || sent + longestStart <= allowed);
+            cr_assert(!mayUseOld || sent + maxStartDelay <= allowed);
         }
     }
     cr_assert_eq(oldVersionGrace(allowed, Duration {0}), Duration {0}, "no grace if the start delay is not bounded");
@@ -56,7 +56,7 @@
 Test(adapterversions, aVersionFoundAtStartupHasNoGrace)
 {
     AdapterVersions versions;
-    cr_assert(nameVersion(versions, "m/a", 2, TimePoint {}));
+    cr_assert(recordVersion(versions, "m/a", 2, TimePoint {}));
     cr_assert_eq(oldestUsableVersion(versions, "m/a", milliseconds(2500), start), 2);
     cr_assert_eq(oldestUsableVersion(versions, "m/a", milliseconds(2500), TimePoint {Duration {1}}), 2);
 }
--- a/lacewing/testing/callerconnectiontest.cpp
+++ b/lacewing/testing/callerconnectiontest.cpp
@@ -46,7 +46,7 @@
 
 void answer(Pair &pair)
 {
-    HttpAnswerHead head;
+    HttpResponseHead head;
     head.status = 200;
     head.length = bodySize;
     pair.connection->beginAnswer(head, BodyFraming::Length, true);
@@ -108,7 +108,7 @@
 Test(callerconnection, anAnswerEndBehindAPendingWriteIsBeingDelivered)
 {
     Pair pair;
-    HttpAnswerHead head;
+    HttpResponseHead head;
     head.status = 200;
     pair.connection->beginAnswer(head, BodyFraming::Chunked, true);
     pair.connection->writeBody("piece");
--- a/lacewing/testing/configurationtest.cpp
+++ b/lacewing/testing/configurationtest.cpp
@@ -7,8 +7,8 @@
 #include "claims.h"
 #include "codec.h"
 #include "configreplay.h"
-#include "joinedvms.h"
 #include "membership.h"
+#include "simulatedvms.h"
 
 using namespace lacewing;
 
@@ -17,9 +17,9 @@
 constexpr Duration second = milliseconds(1000);
 constexpr std::size_t recordByteLimit = 256 * std::size_t {1024}; ///< what the log takes
 
-JoinedVms makeZone(int vms)
+SimulatedVms makeZone(int vms)
 {
-    JoinedVms joined;
+    SimulatedVms joined;
     for (int number = 0; number < vms; ++number) {
         joined.start("vm" + std::to_string(number), "z");
     }
@@ -27,7 +27,7 @@
     return joined;
 }
 
-std::int64_t lowestRevision(const JoinedVms &joined)
+std::int64_t lowestRevision(const SimulatedVms &joined)
 {
     std::int64_t lowest = std::numeric_limits<std::int64_t>::max();
     for (const auto &[name, vm] : joined.vms) {
@@ -37,7 +37,7 @@
 }
 
 /// The newest checkpoint that any VM knows of: those who got its records from a peer do not see it.
-LogOffset newestCheckpoint(const JoinedVms &joined)
+LogOffset newestCheckpoint(const SimulatedVms &joined)
 {
     LogOffset newest = noOffset;
     for (const auto &[name, vm] : joined.vms) {
@@ -47,7 +47,7 @@
 }
 
 /// Fills the log with accepted changes.
-void appendPresetChanges(JoinedVms &joined, int count)
+void appendPresetChanges(SimulatedVms &joined, int count)
 {
     std::int64_t revision = joined.vms.begin()->second.blackboard.config.revision;
     for (int number = 0; number < count; ++number) {
@@ -111,7 +111,7 @@
 
 Test(configuration, changeIsInForceEverywhereWithinTwoSeconds)
 {
-    JoinedVms joined = makeZone(7);
+    SimulatedVms joined = makeZone(7);
     joined.submit("vm3", 42, 0, {usePreset("peak")});
     joined.advance(2 * second);
     for (const auto &[name, vm] : joined.vms) {
@@ -124,7 +124,7 @@
 
 Test(configuration, ofTwoRacingOperatorsOneWinsAndTheOtherIsTold)
 {
-    JoinedVms joined = makeZone(3);
+    SimulatedVms joined = makeZone(3);
     joined.submit("vm0", 1, 0, {usePreset("peak")});
     joined.submit("vm2", 2, 0, {usePreset("maintenance")});
     joined.advance(2 * second);
@@ -137,7 +137,7 @@
 
 Test(configuration, invalidChangeIsRefusedWholeWithItsReason)
 {
-    JoinedVms joined = makeZone(2);
+    SimulatedVms joined = makeZone(2);
     joined.submit("vm0", 1, 0, {addMember("tala"), usePreset("no such")});
     joined.advance(2 * second);
     const AnswerOperator &answer = joined.vms.at("vm0").answers.at(0);
@@ -149,7 +149,7 @@
 
 Test(configuration, lostAppendAnswerIsFoundAgainByNonce)
 {
-    JoinedVms joined = makeZone(3);
+    SimulatedVms joined = makeZone(3);
     joined.log.losesAnswers = true;
     joined.submit("vm1", 5, 0, {usePreset("peak")});
     joined.advance(second);
@@ -160,7 +160,7 @@
 
 Test(configuration, outcomeNotSeenInTimeIsUnknownAndTheHistorySettlesIt)
 {
-    JoinedVms joined = makeZone(1);
+    SimulatedVms joined = makeZone(1);
     joined.log.losesAnswers = true;
     joined.submit("vm0", 5, 0, {usePreset("peak")});
     joined.advance(tickInterval);
@@ -180,7 +180,7 @@
 
 Test(configuration, refusedAppendIsToldAsSuch)
 {
-    JoinedVms joined = makeZone(1);
+    SimulatedVms joined = makeZone(1);
     joined.log.down = true;
     joined.submit("vm0", 5, 0, {usePreset("peak")});
     joined.advance(second);
@@ -189,7 +189,7 @@
 
 Test(configuration, oneReaderAZone)
 {
-    JoinedVms joined = makeZone(7);
+    SimulatedVms joined = makeZone(7);
     const std::int64_t before = joined.log.reads;
     joined.advance(60 * second);
     // A read waits a second at the platform; the reader and the writer of checkpoints read, no one else.
@@ -198,7 +198,7 @@
 
 Test(configuration, inForceWithinSixSecondsThoughTheReaderDies)
 {
-    JoinedVms joined = makeZone(7);
+    SimulatedVms joined = makeZone(7);
     joined.kill(ringOrder(liveVms(joined.vms.at("vm0").blackboard, "z", joined.now)).front());
     joined.append(configRecord(0, {usePreset("peak")}));
     joined.advance(6 * second);
@@ -207,7 +207,7 @@
 
 Test(configuration, inForceWithinSixSecondsThoughTheReaderIsCutFromThePlatform)
 {
-    JoinedVms joined = makeZone(7);
+    SimulatedVms joined = makeZone(7);
     joined.vms.at(ringOrder(liveVms(joined.vms.at("vm0").blackboard, "z", joined.now)).front()).cutFromPlatform = true;
     joined.append(configRecord(0, {usePreset("peak")}));
     joined.advance(6 * second);
@@ -216,7 +216,7 @@
 
 Test(configuration, vmCutFromThePlatformGetsRecordsFromPeers)
 {
-    JoinedVms joined = makeZone(3);
+    SimulatedVms joined = makeZone(3);
     for (auto &[name, vm] : joined.vms) {
         vm.cutFromPlatform = name != "vm2";
     }
@@ -231,7 +231,7 @@
 
 Test(configuration, newVmStartsFromAPeerWhileTheLogIsDown)
 {
-    JoinedVms joined = makeZone(2);
+    SimulatedVms joined = makeZone(2);
     joined.submit("vm0", 1, 0, {addMember("tala"), usePreset("peak")});
     joined.advance(3 * second);
     joined.log.down = true;
@@ -243,7 +243,7 @@
 
 Test(configuration, newVmStartsFromCheckpointAndTailAfterRetention)
 {
-    JoinedVms joined = makeZone(2);
+    SimulatedVms joined = makeZone(2);
     joined.submit("vm0", 1, 0, {addMember("tala"), addEndpoint("e", "z", true)});
     joined.advance(3 * second);
     appendPresetChanges(joined, 100);
@@ -255,7 +255,7 @@
     const Blackboard &writer = joined.vms.at("vm0").blackboard;
     cr_assert_gt(writer.log.lastCheckpoint, 100, "%ld", static_cast<long>(writer.log.lastCheckpoint));
     joined.log.oldestKept = writer.log.lastCheckpoint;
-    JoinedVms alone;
+    SimulatedVms alone;
     alone.log = joined.log;
     alone.start("vm9", "y", 9);
     alone.advance(3 * second);
@@ -268,14 +268,14 @@
 
 Test(configuration, aCheckpointIsThereBeforeRetentionReachesAQuietLog)
 {
-    JoinedVms joined = makeZone(2);
+    SimulatedVms joined = makeZone(2);
     joined.submit("vm0", 1, 0, {addMember("tala")});
     joined.advance(70 * second);
     cr_assert_gt(newestCheckpoint(joined), 0);
     joined.log.oldestKept = static_cast<LogOffset>(joined.log.records.size());
     joined.advance(15 * second);
     cr_assert_geq(newestCheckpoint(joined), joined.log.oldestKept, "written again, above what was dropped");
-    JoinedVms alone;
+    SimulatedVms alone;
     alone.log = joined.log;
     alone.start("vm9", "y", 9);
     alone.advance(3 * second);
--- a/lacewing/testing/crashledgertest.cpp
+++ b/lacewing/testing/crashledgertest.cpp
@@ -74,8 +74,8 @@
     LedgerFixture fixture;
     fixture.crash("a", {sound});
     fixture.crash("b", {sound});
-    cr_assert(noteCompletion(fixture.ledger, sound));
-    cr_assert_not(noteCompletion(fixture.ledger, sound), "the second completion clears nothing");
+    cr_assert(recordCompletion(fixture.ledger, sound));
+    cr_assert_not(recordCompletion(fixture.ledger, sound), "the second completion clears nothing");
     cr_assert_eq(fixture.suspicion(sound), Suspicion::None);
     fixture.crash("c", {sound});
     cr_assert_eq(fixture.suspicion(sound), Suspicion::Suspected);
@@ -283,7 +283,7 @@
         for (const RunningRequest &copy : this->running) {
             if (copy.endpoint == endpoint) {
                 InProgress &requests = byVm[copy.vm];
-                (this->now - copy.begun >= crashOnset ? requests.late : requests.early).push_back(copy.digest);
+                (this->now - copy.begun >= earlyCrashWindow ? requests.late : requests.early).push_back(copy.digest);
             }
             if (copy.endpoint == endpoint && !copy.isRetry && copy.digest != poison) {
                 this->pendingRetries.push_back({copy.digest, this->now + milliseconds(100 + this->randomBelow(500))});
@@ -309,9 +309,9 @@
                 this->running.push_back(copy); // the request is in progress when its endpoint crashes
                 this->poisonCrashes += 1;
                 this->crash(copy.endpoint);
-            } else if (noteCompletion(this->ledgers[static_cast<std::size_t>(copy.vm)], copy.digest)) {
+            } else if (recordCompletion(this->ledgers[static_cast<std::size_t>(copy.vm)], copy.digest)) {
                 this->broadcast(copy.vm, [digest = copy.digest](CrashLedger &ledger, TimePoint) {
-                    noteCompletion(ledger, digest);
+                    recordCompletion(ledger, digest);
                 });
             }
         }
--- a/lacewing/testing/endpointchoicetest.cpp
+++ b/lacewing/testing/endpointchoicetest.cpp
@@ -23,9 +23,9 @@
     return entry;
 }
 
-EndpointNeed need(const std::string &weights = {})
+EndpointRequirements need(const std::string &weights = {})
 {
-    EndpointNeed wanted;
+    EndpointRequirements wanted;
     wanted.service = "s";
     wanted.weights = weights;
     wanted.zone = "a";
@@ -73,11 +73,11 @@
     putEndpoint(fleet, makeEntry("near", "a"), start);
     putEndpoint(fleet, makeEntry("far", "b"), start);
     putHoldings(fleet, "near", 0, {}, 2, start);
-    EndpointNeed suspect = need();
+    EndpointRequirements suspect = need();
     suspect.suspected = true;
     cr_assert_eq(chooseEndpoint(fleet, need(), start).endpoint, "near");
     cr_assert_eq(chooseEndpoint(fleet, suspect, start).endpoint, "far");
-    fleet.endpoints.at("far").ownSuspects = 1;
+    fleet.endpoints.at("far").ownCrashSuspects = 1;
     cr_assert_eq(chooseEndpoint(fleet, suspect, start).endpoint, "near",
                  "not on the same endpoint as another suspected request");
 }
@@ -102,7 +102,7 @@
     cr_assert_eq(chooseEndpoint(fleet, need("m/x"), start).endpoint, "new");
     removeEndpoint(fleet, "new");
     cr_assert_eq(chooseEndpoint(fleet, need("m/x"), start).endpoint, "old");
-    EndpointNeed strict = need("m/x");
+    EndpointRequirements strict = need("m/x");
     strict.oldestVersion = 2;
     cr_assert_eq(chooseEndpoint(fleet, strict, start).result, ChoiceResult::NotHeld);
 }
@@ -129,7 +129,7 @@
     }
     std::map<EndpointName, int> taken;
     for (std::uint64_t draw = 0; draw < 800; ++draw) {
-        EndpointNeed wanted = need();
+        EndpointRequirements wanted = need();
         wanted.draw = draw * 1000003;
         taken[chooseEndpoint(fleet, wanted, start).endpoint] += 1;
     }
@@ -142,30 +142,30 @@
 Test(endpointtrust, threeConsecutiveFailuresOrOneFailedConnectionEject)
 {
     EndpointTrust trust;
-    cr_assert_not(noteFailure(trust, EndpointFailure::Broken, start));
-    cr_assert_not(noteFailure(trust, EndpointFailure::Error, start));
-    noteSuccess(trust);
-    cr_assert_not(noteFailure(trust, EndpointFailure::Error, start));
-    cr_assert_not(noteFailure(trust, EndpointFailure::Error, start));
-    cr_assert(noteFailure(trust, EndpointFailure::Error, start));
+    cr_assert_not(recordFailure(trust, EndpointFailure::Broken, start));
+    cr_assert_not(recordFailure(trust, EndpointFailure::Error, start));
+    recordSuccess(trust);
+    cr_assert_not(recordFailure(trust, EndpointFailure::Error, start));
+    cr_assert_not(recordFailure(trust, EndpointFailure::Error, start));
+    cr_assert(recordFailure(trust, EndpointFailure::Error, start));
     cr_assert_not(isTrusted(trust, start + ejectionBase - Duration(1)));
     cr_assert(isTrusted(trust, start + ejectionBase));
     EndpointTrust other;
-    cr_assert(noteFailure(other, EndpointFailure::Connect, start));
+    cr_assert(recordFailure(other, EndpointFailure::Connect, start));
 }
 
 Test(endpointtrust, ejectionsGrowUpToTheMaximumAndEndWithASuccess)
 {
     EndpointTrust trust;
     TimePoint now = start;
-    noteFailure(trust, EndpointFailure::Connect, now);
+    recordFailure(trust, EndpointFailure::Connect, now);
     for (int round = 0; round < 6; ++round) {
         now = trust.ejectedUntil;
-        cr_assert(noteFailure(trust, EndpointFailure::Error, now));
+        cr_assert(recordFailure(trust, EndpointFailure::Error, now));
         cr_assert(trust.ejectedUntil - now <= maxEjection);
     }
     cr_assert_eq(trust.ejectedUntil - now, maxEjection);
-    noteSuccess(trust);
+    recordSuccess(trust);
     cr_assert(isTrusted(trust, now));
 }
 
@@ -174,9 +174,9 @@
     Fleet fleet;
     putEndpoint(fleet, makeEntry("e1", "a"), start);
     putEndpoint(fleet, makeEntry("e2", "a"), start);
-    noteFailure(fleet.endpoints.at("e1").trust, EndpointFailure::Connect, start);
+    recordFailure(fleet.endpoints.at("e1").trust, EndpointFailure::Connect, start);
     cr_assert_eq(chooseEndpoint(fleet, need(), start).endpoint, "e2");
-    noteFailure(fleet.endpoints.at("e2").trust, EndpointFailure::Connect, start);
+    recordFailure(fleet.endpoints.at("e2").trust, EndpointFailure::Connect, start);
     cr_assert_eq(chooseEndpoint(fleet, need(), start).result, ChoiceResult::Chosen);
 }
 
@@ -190,7 +190,7 @@
     FleetEndpoint &before = fleet.endpoints.at("e1");
     before.ownRunning = 7;
     before.allRunning = 9;
-    noteFailure(before.trust, EndpointFailure::Connect, start);
+    recordFailure(before.trust, EndpointFailure::Connect, start);
     addPrompt(before.prompts, {1, 5000, start});
     EndpointEntry leaving = entry;
     leaving.leaving = true;
--- a/lacewing/testing/endpointlimittest.cpp
+++ b/lacewing/testing/endpointlimittest.cpp
@@ -23,7 +23,7 @@
 EndpointLimit limitOf(double rate)
 {
     EndpointLimit limit;
-    noteLimit(limit, rate, start, start);
+    recordLimit(limit, rate, start, start);
     return limit;
 }
 
@@ -40,7 +40,7 @@
 
 EndpointChoice choose(const Fleet &fleet, const ZoneName &zone, TimePoint now, const std::string &weights = {})
 {
-    EndpointNeed need;
+    EndpointRequirements need;
     need.service = "s";
     need.zone = zone;
     need.weights = weights;
@@ -62,31 +62,31 @@
 {
     EndpointLimit limit = limitOf(3);
     const TimePoint later = start + milliseconds(2000);
-    cr_assert(noteLimit(limit, 1, later, later));
-    cr_assert_not(noteLimit(limit, 3, later - milliseconds(500), later + milliseconds(10)));
+    cr_assert(recordLimit(limit, 1, later, later));
+    cr_assert_not(recordLimit(limit, 3, later - milliseconds(500), later + milliseconds(10)));
     cr_assert_eq(limit.rate, 1);
-    cr_assert(noteNoLimit(limit, later + milliseconds(500)));
-    cr_assert_not(noteLimit(limit, 1, later, later + milliseconds(600)), "stated before the limit ended");
+    cr_assert(recordNoLimit(limit, later + milliseconds(500)));
+    cr_assert_not(recordLimit(limit, 1, later, later + milliseconds(600)), "stated before the limit ended");
     cr_assert_not(isLimited(limit));
 }
 
 Test(endpointlimit, lowerLimitHoldsIfTheOrderOfAnswersIsUnknown)
 {
     EndpointLimit limit = limitOf(3);
-    cr_assert_not(noteNoLimit(limit, start + milliseconds(20)));
-    cr_assert_not(noteLimit(limit, 5, start + milliseconds(20), start + milliseconds(20)));
+    cr_assert_not(recordNoLimit(limit, start + milliseconds(20)));
+    cr_assert_not(recordLimit(limit, 5, start + milliseconds(20), start + milliseconds(20)));
     cr_assert_eq(limit.rate, 3);
-    cr_assert(noteLimit(limit, 2, start + milliseconds(30), start + milliseconds(30)));
+    cr_assert(recordLimit(limit, 2, start + milliseconds(30), start + milliseconds(30)));
     const TimePoint later = start + milliseconds(500);
-    cr_assert(noteLimit(limit, 5, later, later), "the limit rose");
+    cr_assert(recordLimit(limit, 5, later, later), "the limit rose");
 }
 
 Test(endpointlimit, limitThatIsNoLongerStatedEnds)
 {
     EndpointLimit limit = limitOf(3);
-    cr_assert(noteNoLimit(limit, start + milliseconds(500)));
+    cr_assert(recordNoLimit(limit, start + milliseconds(500)));
     cr_assert(hasRoom(limit, start + milliseconds(500)));
-    cr_assert_not(noteNoLimit(limit, start + milliseconds(600)), "reported once");
+    cr_assert_not(recordNoLimit(limit, start + milliseconds(600)), "reported once");
 }
 
 Test(endpointlimit, burstIsBounded)
@@ -95,7 +95,7 @@
     TimePoint now = start + milliseconds(60000);
     int sent = 0;
     for (; hasRoom(limit, now); ++sent) {
-        takeRoom(limit, 1, now);
+        takeTokens(limit, 1, now);
     }
     cr_assert_eq(sent, 4);
     cr_assert_eq(toMilliseconds(timeUntilRoom(limit, now)), 333);
@@ -106,9 +106,9 @@
 Test(endpointlimit, requestGoesToAnotherEndpointIfOneIsAtItsLimit)
 {
     Fleet fleet;
-    noteLimit(add(fleet, "i-1", "z").limit, 2, start, start);
+    recordLimit(add(fleet, "i-1", "z").limit, 2, start, start);
     cr_assert_eq(choose(fleet, "z", start).result, ChoiceResult::Limited);
-    cr_assert_eq(toMilliseconds(choose(fleet, "z", start).untilRoom), 500);
+    cr_assert_eq(toMilliseconds(choose(fleet, "z", start).untilCapacity), 500);
     cr_assert_eq(choose(fleet, "z", start + milliseconds(500)).endpoint, "i-1");
     add(fleet, "i-2", "y");
     cr_assert_eq(choose(fleet, "z", start).endpoint, "i-2");
@@ -119,7 +119,7 @@
     Fleet fleet;
     FleetEndpoint &endpoint = add(fleet, "i-1", "z");
     endpoint.entry.held["m/a1"] = 1;
-    noteLimit(endpoint.limit, 2, start, start);
+    recordLimit(endpoint.limit, 2, start, start);
     cr_assert_eq(choose(fleet, "z", start, "m/a1").result, ChoiceResult::AllFull);
     cr_assert_eq(choose(fleet, "z", start + milliseconds(500), "m/a1").result, ChoiceResult::Chosen);
 }
@@ -127,7 +127,7 @@
 Test(endpointlimit, limitedEndpointIsUsedByItsOwnZoneOnly)
 {
     Fleet fleet;
-    noteLimit(add(fleet, "i-1", "z").limit, 2, start, start);
+    recordLimit(add(fleet, "i-1", "z").limit, 2, start, start);
     const TimePoint later = start + milliseconds(2000);
     cr_assert_eq(choose(fleet, "y", later).endpoint, "i-1", "zone y has no endpoint of its own");
     add(fleet, "i-2", "y").entry.leaving = true;
@@ -159,7 +159,7 @@
         this->arrivals.push_back(this->now);
         for (std::size_t vm = 0; vm < this->limits.size(); ++vm) {
             if (vm == from) {
-                takeRoom(this->limits[vm], 1, this->now);
+                takeTokens(this->limits[vm], 1, this->now);
             } else if (!this->chance(0.03)) {
                 const auto delay = std::uniform_int_distribution<int>(1, 4)(this->random);
                 this->inFlight.push_back({this->now + milliseconds(delay), vm});
@@ -174,7 +174,7 @@
         for (const TimePoint end = this->now + length; this->now < end; this->now += milliseconds(1)) {
             for (const Announcement &announcement : this->inFlight) {
                 if (announcement.at <= this->now) {
-                    takeRoom(this->limits[announcement.vm], 1, this->now);
+                    takeTokens(this->limits[announcement.vm], 1, this->now);
                 }
             }
             std::erase_if(this->inFlight,
--- a/lacewing/testing/endpointlapsetest.cpp
+++ b/lacewing/testing/entryexpirytest.cpp
@@ -3,7 +3,7 @@
 
 #include <criterion/criterion.h>
 
-#include "endpointlapse.h"
+#include "entryexpiry.h"
 
 using namespace lacewing;
 
@@ -15,18 +15,18 @@
 
 Test(endpointlapse, removedWithoutOutageIsGone)
 {
-    cr_assert_eq(lapseHold(TimePoint {}, failed), Duration {0});
+    cr_assert_eq(expiredEntryHold(TimePoint {}, failed), Duration {0});
 }
 
 Test(endpointlapse, removedInFirstReadsAfterOutageIsKeptUpToTheLimit)
 {
-    cr_assert_eq(lapseHold(failed, failed + milliseconds(300)), maxEntryExpiryHold - milliseconds(300));
+    cr_assert_eq(expiredEntryHold(failed, failed + milliseconds(300)), maxEntryExpiryHold - milliseconds(300));
 }
 
 Test(endpointlapse, removedLaterAfterOutageIsGone)
 {
     // Three seconds after the store answers again: keeping the endpoint sends requests to a server that has left.
-    cr_assert_eq(lapseHold(failed, failed + milliseconds(3070)), Duration {0});
+    cr_assert_eq(expiredEntryHold(failed, failed + milliseconds(3070)), Duration {0});
 }
 
 Test(endpointlapse, failedCallWithRecentListIsNoOutage)
--- a/lacewing/testing/entrynodefixture.cpp
+++ b/lacewing/testing/entrynodefixture.cpp
@@ -30,7 +30,7 @@
 {
     PlatformPort made;
     made.claim = [this, vm](std::int64_t superseded, const std::function<void(std::optional<ClaimReply>)> &done) {
-        if (this->cutOff.contains(vm)) {
+        if (this->unreachableVms.contains(vm)) {
             done(std::nullopt);
             return;
         }
@@ -88,7 +88,7 @@
     settings.readyAddress = "127.0.0.1:0";
     settings.readyPath = "/ready";
     settings.datagramAddress = ownAddress();
-    settings.claim.turnDelay = Duration {0};
+    settings.claim.ownerChangeDelay = Duration {0};
     return settings;
 }
 
--- a/lacewing/testing/entrynodefixture.h
+++ b/lacewing/testing/entrynodefixture.h
@@ -13,11 +13,11 @@
 
 namespace lacewing::testing {
 
-/// A platform with a claim log. Claims of VMs in `cutOff` are not answered.
+/// A platform with a claim log. Claims of VMs in `unreachableVms` are not answered.
 struct FakePlatform {
     std::vector<VmContact> contacts;
     std::vector<VmId> claims;
-    std::set<VmId> cutOff;
+    std::set<VmId> unreachableVms;
     asio::io_context *storedLater = nullptr; ///< if set, announcements are stored only in a later turn of this loop
     asio::io_context *loadsNeverEnd = nullptr; ///< if set, endpoints accept each order but never hold more than a model
     int orders = 0; ///< number of orders sent
--- a/lacewing/testing/entrynodetest.cpp
+++ b/lacewing/testing/entrynodetest.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "entrynodefixture.h"
-#include "listeningvm.h"
+#include "fakepeervm.h"
 
 // After Boost, whose headers use names that Criterion defines as macros.
 #include <criterion/criterion.h>
@@ -59,10 +59,10 @@
 {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(2200);
     vms.runUntil([&] {
-        node.storeAnswered(false);
+        node.recordStoreResult(false);
         return std::chrono::steady_clock::now() > end;
     });
-    node.storeAnswered(true);
+    node.recordStoreResult(true);
 }
 
 bool isListedAt(EntryNode &node)
@@ -197,7 +197,7 @@
 {
     VmPair vms;
     std::int64_t told = 0;
-    vms.two.onMoreConfig = [&told](std::int64_t offset) { told = offset; };
+    vms.two.onConfigBehind = [&told](std::int64_t offset) { told = offset; };
     vms.one.configRead(7);
     cr_assert(vms.runUntil([&] { return told == 7; }));
 }
@@ -330,7 +330,7 @@
     }
 
     FakePlatform platform;
-    ListeningVm larger;
+    FakePeerVm larger;
     EntryNodeSettings settings;
     std::unique_ptr<EntryNode> node;
     bool yielded = false;
--- a/lacewing/testing/listeningvm.cpp
+++ b/lacewing/testing/fakepeervm.cpp
@@ -1,6 +1,6 @@
 // The socket is polled and never waited for, so that the test determines when datagrams are read.
 
-#include "listeningvm.h"
+#include "fakepeervm.h"
 
 #include <array>
 
@@ -16,18 +16,18 @@
 
 } // namespace
 
-ListeningVm::ListeningVm(asio::io_context &context, VmId name, ZoneName ownZone)
+FakePeerVm::FakePeerVm(asio::io_context &context, VmId name, ZoneName ownZone)
     : vm(std::move(name)), zone(std::move(ownZone)), socket(context, {asio::ip::address_v4::loopback(), 0})
 {
     this->socket.non_blocking(true);
 }
 
-VmContact ListeningVm::contact() const
+VmContact FakePeerVm::contact() const
 {
     return {this->vm, this->zone, "127.0.0.1:" + std::to_string(this->socket.local_endpoint().port())};
 }
 
-void ListeningVm::send(const std::string &to, wire::VmDatagram datagram)
+void FakePeerVm::send(const std::string &to, wire::VmDatagram datagram)
 {
     datagram.vm = this->vm;
     datagram.incarnation = 1;
@@ -37,7 +37,7 @@
     this->socket.send_to(asio::buffer(encode(datagram)), Udp::endpoint(address->address(), address->port()));
 }
 
-std::vector<wire::VmDatagram> ListeningVm::received()
+std::vector<wire::VmDatagram> FakePeerVm::received()
 {
     std::vector<wire::VmDatagram> all;
     std::array<char, maxDatagramBytes> bytes {};
@@ -55,7 +55,7 @@
     }
 }
 
-wire::VmDatagram noticeOfOwner(std::int64_t offset)
+wire::VmDatagram makeOwnerNotice(std::int64_t offset)
 {
     wire::PlacementNotice notice;
     notice.zone = "z";
@@ -68,7 +68,7 @@
     return datagram;
 }
 
-wire::VmDatagram leavingPassedOn(std::int64_t offset, const std::string &id)
+wire::VmDatagram makeLeavingChange(std::int64_t offset, const std::string &id)
 {
     wire::ListedEndpoint listed;
     listed.endpoint = id;
--- a/lacewing/testing/listeningvm.h
+++ b/lacewing/testing/fakepeervm.h
@@ -15,13 +15,13 @@
 
 namespace lacewing::testing {
 
-class ListeningVm
+class FakePeerVm
 {
 public:
     /// @param context event loop of the VMs under test
     /// @param vm its name
     /// @param ownZone its zone
-    ListeningVm(asio::io_context &context, VmId vm, ZoneName ownZone = "z");
+    FakePeerVm(asio::io_context &context, VmId vm, ZoneName ownZone = "z");
 
     /// @return contact data for other VMs
     VmContact contact() const;
@@ -42,11 +42,11 @@
 
 /// @param offset of the last change of the list that was forwarded
 /// @return notice of an owner of zone "z" that has just read the list
-wire::VmDatagram noticeOfOwner(std::int64_t offset);
+wire::VmDatagram makeOwnerNotice(std::int64_t offset);
 
 /// @param offset of the list after the change
 /// @param id of an endpoint that starts to leave
 /// @return datagram that forwards the change
-wire::VmDatagram leavingPassedOn(std::int64_t offset, const std::string &id);
+wire::VmDatagram makeLeavingChange(std::int64_t offset, const std::string &id);
 
 } // namespace lacewing::testing
--- a/lacewing/testing/handlerguardtest.cpp
+++ b/lacewing/testing/handlerguardtest.cpp
@@ -31,15 +31,15 @@
     for (std::int64_t count = 0; count < 10 * maxFailuresInSeries; ++count) {
         now += failureSeriesGap;
         recordFailure(failures, now);
-        cr_assert_not(isFailingInSeries(failures));
+        cr_assert_not(isFailingRepeatedly(failures));
     }
     for (std::int64_t count = 1; count < maxFailuresInSeries; ++count) {
         now += failureSeriesGap / 2;
         recordFailure(failures, now);
-        cr_assert_not(isFailingInSeries(failures));
+        cr_assert_not(isFailingRepeatedly(failures));
     }
     recordFailure(failures, now);
-    cr_assert(isFailingInSeries(failures));
+    cr_assert(isFailingRepeatedly(failures));
 }
 
 Test(handlerguard, anOwnerWhoseOrderThrowsReleasesItsZone)
--- a/lacewing/testing/httpreadertest.cpp
+++ b/lacewing/testing/httpreadertest.cpp
@@ -90,7 +90,7 @@
 Test(httpreader, anAnswerWithoutALengthEndsWithTheConnection)
 {
     std::mt19937 random(2);
-    AnswerReader reader(false);
+    ResponseReader reader(false);
     ReadError error;
     feed(reader, "HTTP/1.1 200 OK\r\nA: b\r\n\r\nbytes", random, error);
     cr_assert_not(error);
@@ -107,7 +107,7 @@
     for (const std::string framing :
          {"Content-Length: 10\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"}) {
         std::mt19937 random(2);
-        AnswerReader reader(false);
+        ResponseReader reader(false);
         ReadError error;
         feed(reader, "HTTP/1.1 200 OK\r\n" + framing, random, error);
         cr_assert_not(error);
--- a/lacewing/testing/leavingtest.cpp
+++ b/lacewing/testing/leavingtest.cpp
@@ -13,7 +13,7 @@
 #include "entrynode.h"
 
 #include "entrynodefixture.h"
-#include "listeningvm.h"
+#include "fakepeervm.h"
 
 // After Boost, whose headers use names that Criterion defines as macros.
 #include <criterion/criterion.h>
@@ -29,7 +29,7 @@
 struct Relying {
     Relying() : owner(context, "vm0")
     {
-        this->platform.cutOff = {"vm1"}; // it never owns the zone
+        this->platform.unreachableVms = {"vm1"}; // it never owns the zone
         this->platform.contacts = {this->owner.contact()};
         this->settings = settingsOf("vm1");
         this->node
@@ -44,11 +44,11 @@
     {
         bool taken = false;
         this->configOffset += 1;
-        this->node->onMoreConfig = [&taken](std::int64_t) { taken = true; };
+        this->node->onConfigBehind = [&taken](std::int64_t) { taken = true; };
         datagram.configOffset = this->configOffset;
         this->owner.send(this->settings.datagramAddress, std::move(datagram));
         cr_assert(this->runUntil([&taken] { return taken; }));
-        this->node->onMoreConfig = nullptr;
+        this->node->onConfigBehind = nullptr;
     }
 
     template<typename Condition>
@@ -69,7 +69,7 @@
 
     asio::io_context context;
     FakePlatform platform;
-    ListeningVm owner;
+    FakePeerVm owner;
     EntryNodeSettings settings;
     std::unique_ptr<EntryNode> node;
     std::int64_t configOffset = 0;
@@ -80,20 +80,20 @@
 Test(leaving, aMissedChangeIsNotHiddenByALaterOne)
 {
     Relying vm;
-    vm.deliver(noticeOfOwner(10));
+    vm.deliver(makeOwnerNotice(10));
     cr_assert_not(vm.readsByItself());
     // The change up to 20, by which i-1 leaves, is lost with all its repeats.
-    vm.deliver(leavingPassedOn(30, "i-2"));
-    vm.deliver(noticeOfOwner(30));
+    vm.deliver(makeLeavingChange(30, "i-2"));
+    vm.deliver(makeOwnerNotice(30));
     cr_assert(vm.readsByItself());
 }
 
 Test(leaving, aMissedChangeIsNotHiddenByNewsOfAdapters)
 {
     Relying vm;
-    vm.deliver(noticeOfOwner(20));
+    vm.deliver(makeOwnerNotice(20));
     cr_assert(vm.readsByItself());
-    wire::VmDatagram news = noticeOfOwner(0); // as sent at each change of what an endpoint holds
+    wire::VmDatagram news = makeOwnerNotice(0); // as sent at each change of what an endpoint holds
     news.placement.listAgeMilliseconds = -1;
     vm.deliver(news);
     cr_assert(vm.readsByItself());
@@ -103,8 +103,8 @@
 {
     asio::io_context context;
     FakePlatform platform;
-    platform.cutOff = {"vm2"}; // only VM one may own the zone
-    ListeningVm observer(context, "vm0");
+    platform.unreachableVms = {"vm2"}; // only VM one may own the zone
+    FakePeerVm observer(context, "vm0");
     platform.contacts = {observer.contact()};
     const EntryNodeSettings settings = settingsOf("vm1");
     EntryNode one(context, settings, RequestFormat {}, platform.port("vm1"));
@@ -137,9 +137,9 @@
 Test(leaving, aSingleFailedCallKeepsNoEndpointThatIsGone)
 {
     Relying vm;
-    vm.deliver(noticeOfOwner(10));
-    vm.node->storeAnswered(false); // one lost answer or refusal, while the store serves
-    vm.node->storeAnswered(true);
+    vm.deliver(makeOwnerNotice(10));
+    vm.node->recordStoreResult(false); // one lost answer or refusal, while the store serves
+    vm.node->recordStoreResult(true);
     vm.node->removeEndpoint("i-1");
     vm.node->listRead({20});
     cr_assert_not(vm.node->gateway().fleet().endpoints.contains("i-1"));
@@ -148,15 +148,15 @@
 Test(leaving, aNoticeThatWasHeldUpOnItsWayIsAsOldAsThat)
 {
     Relying vm;
-    wire::VmDatagram news = noticeOfOwner(0);
+    wire::VmDatagram news = makeOwnerNotice(0);
     news.placement.listAgeMilliseconds = -1;
     news.__set_sentMilliseconds(50000);
     vm.deliver(news);
-    wire::VmDatagram heldUp = noticeOfOwner(10); // 2 s in the queue of the owner's link
+    wire::VmDatagram heldUp = makeOwnerNotice(10); // 2 s in the queue of the owner's link
     heldUp.__set_sentMilliseconds(48000);
     vm.deliver(heldUp);
     cr_assert(vm.readsByItself());
-    wire::VmDatagram prompt = noticeOfOwner(10);
+    wire::VmDatagram prompt = makeOwnerNotice(10);
     prompt.__set_sentMilliseconds(50001);
     vm.deliver(prompt);
     cr_assert_not(vm.readsByItself());
@@ -174,7 +174,7 @@
     // What its own read brought was older than what it knew, and the entry stayed until its next read, up to 30 s
     // later.
     Relying vm;
-    vm.deliver(noticeOfOwner(10));
+    vm.deliver(makeOwnerNotice(10));
     wire::ListChange change;
     change.previous = 10;
     change.offset = 20;
--- a/lacewing/testing/listknowledgetest.cpp
+++ b/lacewing/testing/listfreshnesstest.cpp
@@ -9,7 +9,7 @@
 
 #include <criterion/criterion.h>
 
-#include "listknowledge.h"
+#include "listfreshness.h"
 
 using namespace lacewing;
 
@@ -41,7 +41,7 @@
 };
 
 struct ZoneVm {
-    ListKnowledge knowledge;
+    ListFreshness knowledge;
     ListChain chain;
     bool owner = false;
     std::set<int> copy; ///< endpoints in this VM's copy of the list
@@ -53,7 +53,7 @@
 struct Datagram {
     std::size_t to = 0;
     std::size_t from = 0;
-    ListStatement statement;
+    ListAnnouncement statement;
     Difference difference;
 };
 
@@ -131,7 +131,7 @@
         for (const int endpoint : list) {
             put(vm, endpoint);
         }
-        breakChain(vm.chain);
+        resetChain(vm.chain);
     }
 
     void read(ZoneVm &vm)
@@ -141,14 +141,14 @@
         } else {
             this->readChanges(vm);
         }
-        noteOwnRead(vm.knowledge, static_cast<std::int64_t>(vm.next), this->now);
+        recordOwnRead(vm.knowledge, static_cast<std::int64_t>(vm.next), this->now);
         const Difference difference = std::exchange(vm.read, {});
         if (vm.owner) {
-            this->send(vm, nextStatement(vm.chain, vm.knowledge, !difference.empty()), difference);
+            this->send(vm, nextAnnouncement(vm.chain, vm.knowledge, !difference.empty()), difference);
         }
     }
 
-    void send(const ZoneVm &from, const ListStatement &statement, const Difference &difference)
+    void send(const ZoneVm &from, const ListAnnouncement &statement, const Difference &difference)
     {
         const auto sender = static_cast<std::size_t>(&from - this->vms.data());
         for (std::size_t to = 0; to < this->vms.size(); ++to) {
@@ -172,8 +172,8 @@
             }
         }
         const std::int64_t before = vm.knowledge.offset;
-        noteStatement(vm.knowledge, datagram.statement, std::to_string(datagram.from));
-        noteToldByOther(vm.chain, before, vm.knowledge);
+        recordStatement(vm.knowledge, datagram.statement, std::to_string(datagram.from));
+        recordUpdateFromOther(vm.chain, before, vm.knowledge);
     }
 
     void step()
@@ -186,7 +186,7 @@
             ZoneVm &vm = this->vms[this->random() % this->vms.size()];
             vm.owner = !vm.owner;
             if (vm.owner) {
-                beginChain(vm.chain, vm.knowledge);
+                startChain(vm.chain, vm.knowledge);
             }
         }
         while (!this->inFlight.empty() && this->inFlight.begin()->first <= this->now) {
@@ -205,7 +205,7 @@
         }
         for (ZoneVm &vm : this->vms) {
             if (vm.owner && vm.knowledge.offset != noOffset && this->chance(0.02)) {
-                this->send(vm, nextStatement(vm.chain, vm.knowledge, false), {});
+                this->send(vm, nextAnnouncement(vm.chain, vm.knowledge, false), {});
             }
         }
     }
@@ -242,9 +242,9 @@
 
 Test(listknowledge, contiguousChangeExtendsTheKnownOffset)
 {
-    ListKnowledge knowledge;
-    noteOwnRead(knowledge, 10, at(0));
-    noteStatement(knowledge, {10, 20, at(900)}, "vm0");
+    ListFreshness knowledge;
+    recordOwnRead(knowledge, 10, at(0));
+    recordStatement(knowledge, {10, 20, at(900)}, "vm0");
     cr_assert_eq(knowledge.offset, 20);
     cr_assert_eq(knowledge.current, at(900));
     cr_assert(isCovered(knowledge, at(900) + readValidity - milliseconds(1)));
@@ -253,40 +253,40 @@
 
 Test(listknowledge, missedChangeIsNotCoveredByLaterOnes)
 {
-    ListKnowledge knowledge;
-    noteOwnRead(knowledge, 10, at(0));
-    noteStatement(knowledge, {20, 30, at(900)}, "vm0");
-    noteStatement(knowledge, {30, 30, at(1000)}, "vm0");
+    ListFreshness knowledge;
+    recordOwnRead(knowledge, 10, at(0));
+    recordStatement(knowledge, {20, 30, at(900)}, "vm0");
+    recordStatement(knowledge, {30, 30, at(1000)}, "vm0");
     cr_assert_eq(knowledge.offset, 10);
     cr_assert_not(isCovered(knowledge, at(1000)));
-    noteStatement(knowledge, {10, 20, at(900)}, "vm0"); // a repetition of the missed announcement
-    noteStatement(knowledge, {20, 30, at(900)}, "vm0");
+    recordStatement(knowledge, {10, 20, at(900)}, "vm0"); // a repetition of the missed announcement
+    recordStatement(knowledge, {20, 30, at(900)}, "vm0");
     cr_assert_eq(knowledge.offset, 30);
     cr_assert_not(isCovered(knowledge, at(900) + readValidity));
 }
 
 Test(listknowledge, announcementWithoutPreviousOffsetDoesNotCover)
 {
-    ListKnowledge knowledge;
-    noteOwnRead(knowledge, 10, at(0));
-    noteStatement(knowledge, {noOffset, 20, at(900)}, "vm0");
+    ListFreshness knowledge;
+    recordOwnRead(knowledge, 10, at(0));
+    recordStatement(knowledge, {noOffset, 20, at(900)}, "vm0");
     cr_assert_not(isCovered(knowledge, at(900)));
-    noteOwnRead(knowledge, 20, at(1000));
+    recordOwnRead(knowledge, 20, at(1000));
     cr_assert_not(isCovered(knowledge, at(1000)));
 }
 
 Test(listknowledge, newOwnerCoversOnlyVmsThatKnowAsMuch)
 {
-    ListKnowledge successor;
-    ListKnowledge other;
-    noteOwnRead(other, 10, at(0));
-    noteOwnRead(successor, 20, at(300));
+    ListFreshness successor;
+    ListFreshness other;
+    recordOwnRead(other, 10, at(0));
+    recordOwnRead(successor, 20, at(300));
     ListChain chain;
-    beginChain(chain, successor);
-    noteStatement(other, nextStatement(chain, successor, false), "vm1");
+    startChain(chain, successor);
+    recordStatement(other, nextAnnouncement(chain, successor, false), "vm1");
     cr_assert_not(isCovered(other, at(310)));
-    noteOwnRead(other, 20, at(400));
-    noteStatement(other, nextStatement(chain, successor, false), "vm1");
+    recordOwnRead(other, 20, at(400));
+    recordStatement(other, nextAnnouncement(chain, successor, false), "vm1");
     cr_assert(isCovered(other, at(410)));
 }
 
--- a/lacewing/testing/loggingtest.cpp
+++ b/lacewing/testing/loggingtest.cpp
@@ -23,7 +23,7 @@
     cr_assert(escapeLogValue("say \"no\"\\") == "\"say \\\"no\\\"\\\\\"");
     cr_assert(escapeLogValue("line\nlevel=error") == "\"line\\nlevel=error\"");
     cr_assert(escapeLogValue("\x1b[0m\r") == "\"\\x1b[0m\\x0d\"");
-    cr_assert(escapeLogValue(std::string(longestLogValue + 1, 'x')).ends_with("...\""));
+    cr_assert(escapeLogValue(std::string(maxLogValueBytes + 1, 'x')).ends_with("...\""));
 }
 
 Test(logging, randomBytesNeverBreakTheLine)
--- a/lacewing/testing/membershiptest.cpp
+++ b/lacewing/testing/membershiptest.cpp
@@ -3,8 +3,8 @@
 #include <criterion/criterion.h>
 
 #include "heartbeats.h"
-#include "joinedvms.h"
 #include "membership.h"
+#include "simulatedvms.h"
 
 using namespace lacewing;
 
@@ -12,9 +12,9 @@
 
 constexpr Duration second = milliseconds(1000);
 
-JoinedVms makeVms(int count, int zones)
+SimulatedVms makeVms(int count, int zones)
 {
-    JoinedVms joined;
+    SimulatedVms joined;
     for (int number = 0; number < count; ++number) {
         joined.start("vm" + std::to_string(number), "z" + std::to_string(number % zones));
     }
@@ -25,7 +25,7 @@
 double busiestBytesPerSecond(int count, int zones)
 {
     constexpr int seconds = 5;
-    JoinedVms joined = makeVms(count, zones);
+    SimulatedVms joined = makeVms(count, zones);
     joined.advance(6 * second);
     for (auto &[name, vm] : joined.vms) {
         vm.controlBytes = 0;
@@ -42,7 +42,7 @@
 
 Test(membership, silentVmIsNoticedByItsWholeZone)
 {
-    JoinedVms joined = makeVms(9, 1);
+    SimulatedVms joined = makeVms(9, 1);
     joined.advance(3 * second);
     joined.kill("vm4");
     joined.advance(3 * second);
@@ -54,7 +54,7 @@
 
 Test(membership, oneCutLinkDeposesNobody)
 {
-    JoinedVms joined = makeVms(9, 1);
+    SimulatedVms joined = makeVms(9, 1);
     joined.advance(3 * second);
     joined.cuts.insert({"vm1", "vm2"});
     joined.cut("vm3", "vm5");
@@ -66,7 +66,7 @@
 
 Test(membership, aVmThatIsCutOffDeposesNobody)
 {
-    JoinedVms joined = makeVms(9, 1);
+    SimulatedVms joined = makeVms(9, 1);
     joined.advance(3 * second);
     for (int number = 0; number < 9; ++number) {
         if (number != 4) {
--- a/lacewing/testing/ownershiptest.cpp
+++ b/lacewing/testing/ownershiptest.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 #include "claims.h"
-#include "joinedvms.h"
+#include "simulatedvms.h"
 
 using namespace lacewing;
 
@@ -12,9 +12,9 @@
 constexpr Duration second = milliseconds(1000);
 
 /// VMs of one zone with endpoints, after ownership has settled.
-JoinedVms makeZone(int vms, int endpoints, bool checksFencing)
+SimulatedVms makeZone(int vms, int endpoints, bool checksFencing)
 {
-    JoinedVms joined;
+    SimulatedVms joined;
     std::vector<wire::ConfigChange> changes;
     changes.reserve(static_cast<std::size_t>(endpoints));
     for (int number = 0; number < endpoints; ++number) {
@@ -29,7 +29,7 @@
 }
 
 /// How many VMs act as owner of an endpoint right now.
-int countOwners(const JoinedVms &joined, const EndpointName &endpoint)
+int countOwners(const SimulatedVms &joined, const EndpointName &endpoint)
 {
     int owners = 0;
     for (const auto &[name, vm] : joined.vms) {
@@ -38,12 +38,12 @@
     return owners;
 }
 
-VmId ownerSeenBy(const JoinedVms &joined, const VmId &vm, const EndpointName &endpoint)
+VmId ownerSeenBy(const SimulatedVms &joined, const VmId &vm, const EndpointName &endpoint)
 {
     return ownerOf(joined.vms.at(vm).blackboard, endpoint).value_or("none");
 }
 
-VmId otherThan(const JoinedVms &joined, const VmId &vm)
+VmId otherThan(const SimulatedVms &joined, const VmId &vm)
 {
     for (const auto &[name, joinedVm] : joined.vms) {
         if (name != vm) {
@@ -53,7 +53,7 @@
     return {};
 }
 
-std::size_t countClaims(const JoinedVms &joined)
+std::size_t countClaims(const SimulatedVms &joined)
 {
     std::size_t claims = 0;
     for (const wire::StoredRecord &stored : joined.log.records) {
@@ -66,7 +66,7 @@
 
 Test(ownership, everyEndpointGetsOneOwnerAndTheSharesAreEven)
 {
-    const JoinedVms joined = makeZone(3, 9, true);
+    const SimulatedVms joined = makeZone(3, 9, true);
     for (int number = 0; number < 9; ++number) {
         cr_assert_eq(countOwners(joined, "e" + std::to_string(number)), 1);
     }
@@ -78,7 +78,7 @@
 
 Test(ownership, fencedEndpointIsTakenOverWithinFiveSeconds)
 {
-    JoinedVms joined = makeZone(3, 9, true);
+    SimulatedVms joined = makeZone(3, 9, true);
     const VmId owner = ownerSeenBy(joined, "vm0", "e0");
     const LogOffset before = fencingOf(joined.vms.at(owner).blackboard, "e0");
     joined.kill(owner);
@@ -90,7 +90,7 @@
 
 Test(ownership, unfencedEndpointWaitsForTheVmList)
 {
-    JoinedVms joined = makeZone(3, 3, false);
+    SimulatedVms joined = makeZone(3, 3, false);
     const VmId owner = ownerSeenBy(joined, "vm0", "e0");
     joined.vms.at(owner).paused = true;
     joined.advance(60 * second);
@@ -107,7 +107,7 @@
 
 Test(ownership, pausedOwnerDropsWhenItSeesItsClaimSuperseded)
 {
-    JoinedVms joined = makeZone(3, 3, true);
+    SimulatedVms joined = makeZone(3, 3, true);
     const VmId owner = ownerSeenBy(joined, "vm0", "e0");
     joined.vms.at(owner).paused = true;
     joined.advance(5 * second);
@@ -120,7 +120,7 @@
 
 Test(ownership, ownersGoOnWhileTheLogIsDown)
 {
-    JoinedVms joined = makeZone(3, 9, true);
+    SimulatedVms joined = makeZone(3, 9, true);
     joined.log.down = true;
     joined.advance(1800 * second);
     for (int number = 0; number < 9; ++number) {
@@ -130,7 +130,7 @@
 
 Test(ownership, plannedStopReleasesAndFinishesOnce)
 {
-    JoinedVms joined = makeZone(3, 9, false);
+    SimulatedVms joined = makeZone(3, 9, false);
     joined.send("vm1", StopRequested {});
     joined.advance(3 * second);
     cr_assert_eq(joined.vms.at("vm1").stopFinished, 1);
@@ -142,7 +142,7 @@
 
 Test(ownership, vmMissingFromALaggingListIsNotGone)
 {
-    JoinedVms joined = makeZone(2, 4, false);
+    SimulatedVms joined = makeZone(2, 4, false);
     joined.start("vm5", "z", 5);
     joined.unlist("vm5"); // started, but the list does not show it yet
     joined.advance(2 * second);
@@ -164,7 +164,7 @@
 
 Test(ownership, asymmetricCutDeposesNobody)
 {
-    JoinedVms joined = makeZone(5, 10, true);
+    SimulatedVms joined = makeZone(5, 10, true);
     const std::size_t before = countClaims(joined);
     joined.cuts.insert({"vm0", "vm1"});
     joined.cuts.insert({"vm2", "vm3"});
@@ -174,7 +174,7 @@
 
 Test(ownership, twoVmsCutFromEachOtherDoNotTakeInTurns)
 {
-    JoinedVms joined = makeZone(2, 4, true);
+    SimulatedVms joined = makeZone(2, 4, true);
     const std::size_t before = countClaims(joined);
     joined.cut("vm0", "vm1");
     joined.advance(25 * second);
@@ -187,7 +187,7 @@
 
 Test(ownership, restartedVmTakesItsFencedEndpointsAtOnce)
 {
-    JoinedVms joined = makeZone(3, 9, true);
+    SimulatedVms joined = makeZone(3, 9, true);
     const VmId owner = ownerSeenBy(joined, "vm0", "e0");
     joined.kill(owner);
     joined.start(owner, "z", 2);
@@ -198,7 +198,7 @@
 
 Test(ownership, restartedVmTakesItsUnfencedEndpointsOnceTheListConfirmsIt)
 {
-    JoinedVms joined = makeZone(3, 3, false);
+    SimulatedVms joined = makeZone(3, 3, false);
     const VmId owner = ownerSeenBy(joined, "vm0", "e0");
     joined.kill(owner);
     joined.start(owner, "z", 2);
@@ -210,9 +210,9 @@
 
 Test(ownership, oldProcessResumedLeavesTheClaimsOfItsSuccessorAlone)
 {
-    JoinedVms joined = makeZone(2, 4, true);
+    SimulatedVms joined = makeZone(2, 4, true);
     // The process before, resumed after its successor had claimed: same name, other incarnation.
-    JoinedVm old = joined.vms.at("vm0");
+    SimulatedVm old = joined.vms.at("vm0");
     joined.start("vm0", "z", 2);
     joined.advance(5 * second);
     const std::size_t claims = countClaims(joined);
@@ -225,7 +225,7 @@
 
 Test(ownership, wholeZoneReplacedWhileTheLogIsDown)
 {
-    JoinedVms joined = makeZone(3, 6, false);
+    SimulatedVms joined = makeZone(3, 6, false);
     joined.log.down = true;
     for (const char *vm : {"vm0", "vm1", "vm2"}) {
         joined.kill(vm);
@@ -247,7 +247,7 @@
 
 Test(ownership, lostAnswersOfClaimsMakeNoSecondOwner)
 {
-    JoinedVms joined = makeZone(3, 9, true);
+    SimulatedVms joined = makeZone(3, 9, true);
     joined.log.losesAnswers = true;
     const VmId owner = ownerSeenBy(joined, "vm0", "e0");
     joined.kill(owner);
@@ -260,7 +260,7 @@
 
 Test(ownership, stopFinishesWithTheLogDown)
 {
-    JoinedVms joined = makeZone(2, 4, true);
+    SimulatedVms joined = makeZone(2, 4, true);
     joined.log.down = true;
     joined.send("vm1", StopRequested {});
     joined.advance(4 * second);
@@ -272,7 +272,7 @@
 
 Test(ownership, newVmGetsItsShareOfIdleEndpoints)
 {
-    JoinedVms joined = makeZone(2, 6, false);
+    SimulatedVms joined = makeZone(2, 6, false);
     joined.start("vm2", "z");
     joined.advance(40 * second);
     cr_assert_eq(joined.vms.at("vm2").blackboard.owner.endpoints.size(), 2U);
@@ -283,7 +283,7 @@
 
 Test(ownership, allVmsStartingAtOnceMakeNoStormOfClaims)
 {
-    const JoinedVms joined = makeZone(12, 48, true);
+    const SimulatedVms joined = makeZone(12, 48, true);
     for (int number = 0; number < 48; ++number) {
         cr_assert_eq(countOwners(joined, "e" + std::to_string(number)), 1);
     }
--- a/lacewing/testing/placementownertest.cpp
+++ b/lacewing/testing/placementownertest.cpp
@@ -100,7 +100,7 @@
     Zone zone;
     const std::int64_t before = zone.owner.plansMade;
     for (int vm = 0; vm < vms; ++vm) {
-        zone.owner.noteDemand("vm" + std::to_string(vm), "z", makeDemand(4 * vm, 4));
+        zone.owner.recordDemand("vm" + std::to_string(vm), "z", makeDemand(4 * vm, 4));
     }
     zone.run(milliseconds(1));
     cr_assert_leq(zone.owner.plansMade - before, 1);
@@ -119,7 +119,7 @@
     // the new incarnation, which does not hold the adapter.
     Zone zone;
     zone.answers = false;
-    zone.owner.noteDemand("vm", "z", makeDemand(1, 1));
+    zone.owner.recordDemand("vm", "z", makeDemand(1, 1));
     zone.run(milliseconds(40));
     cr_assert_eq(zone.orders.size(), 1);
     const EndpointName id = zone.orders.front().endpoint;
@@ -132,7 +132,7 @@
     zone.unanswered.front()(OrderReply::Done);
     const auto holdings = [&] {
         std::size_t held = 0;
-        for (const wire::PlacementNotice &notice : zone.owner.newsSince(0)) {
+        for (const wire::PlacementNotice &notice : zone.owner.updatesSince(0)) {
             for (const wire::EndpointHoldings &update : notice.endpoints) {
                 held += update.endpoint == id ? update.held.size() : 0;
             }
@@ -161,7 +161,7 @@
             }
             return calls < lastCall;
         };
-        zone.owner.noteDemand("vm", "z", makeDemand(1, 4));
+        zone.owner.recordDemand("vm", "z", makeDemand(1, 4));
         zone.run(milliseconds(400));
         cr_assert_eq(zone.owner.active(), calls < lastCall);
     }
--- a/lacewing/testing/placementnewstest.cpp
+++ b/lacewing/testing/placementupdatestest.cpp
@@ -5,7 +5,7 @@
 // the endpoint's full state was sent in turn. Meanwhile requests waited for a resident adapter, or were sent to an
 // endpoint that did not hold it.
 
-#include "placementnews.h"
+#include "placementupdates.h"
 
 #include <algorithm>
 #include <limits>
@@ -14,7 +14,7 @@
 #include "clock.h"
 #include "codec.h"
 #include "fleet.h"
-#include "newsprogress.h"
+#include "updateprogress.h"
 
 // After Boost, whose headers use names that Criterion defines as macros.
 #include <criterion/criterion.h>
@@ -32,7 +32,7 @@
             held[one.name] = one.version;
         }
         if (holdings.heldOmitted) {
-            putChange(fleet, holdings.endpoint, holdings.orders, held, holdings.lost, TimePoint {});
+            applyHoldingsChange(fleet, holdings.endpoint, holdings.orders, held, holdings.lost, TimePoint {});
         } else {
             putHoldings(fleet, holdings.endpoint, holdings.orders, held, holdings.running, TimePoint {});
         }
@@ -94,13 +94,13 @@
 struct Receiver {
     void receive(const wire::PlacementNotice &notice)
     {
-        for (const wire::PlacementNotice &next : takeInOrder(this->progress, notice)) {
+        for (const wire::PlacementNotice &next : receiveInOrder(this->progress, notice)) {
             apply(this->fleet, next);
         }
     }
 
     Fleet &fleet;
-    NewsProgress progress;
+    UpdateProgress progress;
 };
 
 constexpr std::size_t maxUnfragmentedBytes = 1400;
--- a/lacewing/testing/policydifftest.cpp
+++ b/lacewing/testing/policydifftest.cpp
@@ -158,7 +158,7 @@
             slot.lastUsed = vm.now - milliseconds(*rc::gen::inRange(1, 100000));
             const int demands = *rc::gen::inRange(0, 4);
             for (int count = 0; count < demands; ++count) {
-                noteDemand(vm.blackboard.owner, version, slot.lastUsed);
+                recordDemand(vm.blackboard.owner, version, slot.lastUsed);
             }
         }
         std::optional<AdapterVersion> expected;
--- a/lacewing/testing/promptpacingtest.cpp
+++ b/lacewing/testing/promptpacingtest.cpp
@@ -183,8 +183,8 @@
         for (int prompt = 0; prompt < 100; ++prompt) {
             const auto tokens = static_cast<std::int32_t>(200 + random() % 4000);
             const double took = base + tokens / rate;
-            learnReading(queue, tokens,
-                         std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(took)));
+            recordPrefillTime(queue, tokens,
+                              std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(took)));
         }
         cr_assert_float_eq(queue.prefillSpeed.tokensPerMillisecond, rate, rate * 0.05);
         cr_assert_float_eq(queue.prefillSpeed.baseMilliseconds, base, 3.0);
@@ -199,8 +199,8 @@
 {
     PromptQueue queue;
     for (int prompt = 0; prompt < 100; ++prompt) {
-        learnReading(queue, 5000, milliseconds(prompt % 2 == 0 ? 1 : 60000));
-        learnReading(queue, 100, Duration {0}); // no valid observation
+        recordPrefillTime(queue, 5000, milliseconds(prompt % 2 == 0 ? 1 : 60000));
+        recordPrefillTime(queue, 100, Duration {0}); // no valid observation
     }
     cr_assert_geq(queue.prefillSpeed.tokensPerMillisecond, initialTokensPerMillisecond / 4);
     cr_assert_leq(queue.prefillSpeed.tokensPerMillisecond, initialTokensPerMillisecond * 4);
--- a/lacewing/testing/replaytest.cpp
+++ b/lacewing/testing/replaytest.cpp
@@ -8,9 +8,9 @@
 #include <rapidcheck.h>
 
 #include "checkpoints.h"
-#include "joinedvms.h"
 #include "logreplay.h"
 #include "naivelog.h"
+#include "simulatedvms.h"
 
 using namespace lacewing;
 
--- a/lacewing/testing/sharedfailurestest.cpp
+++ b/lacewing/testing/sharedfailurestest.cpp
@@ -73,10 +73,10 @@
     {
         SharedFailures &failures = this->failuresByVm[vm][announcement.endpoint];
         if (announcement.works) {
-            noteWorks(failures);
+            clearReports(failures);
             return;
         }
-        noteReport(failures, reportOf(announcement.vm, this->zoneOfVm(announcement.vm), this->now));
+        recordReport(failures, reportOf(announcement.vm, this->zoneOfVm(announcement.vm), this->now));
         const bool more = isShunned(failures, this->now) || mayShunOneMore(this->shunnedBy(vm), endpoints);
         if (more
             && isReportedFailing(failures, this->zoneOfEndpoint(announcement.endpoint), this->zoneOfVm(vm),
@@ -96,7 +96,7 @@
         }
         const bool fails = this->chance(this->failing(vm, endpoint));
         this->failed += fails ? 1 : 0;
-        if (fails ? shouldReport(failures, this->now) : shouldVouch(failures, this->now)) {
+        if (fails ? shouldReport(failures, this->now) : shouldAnnounceSuccess(failures, this->now)) {
             this->announcementCount += 1;
             this->announcements.push_back({this->now + step, vm, endpoint, !fails});
         }
@@ -146,17 +146,17 @@
 Test(sharedfailures, threeReportersAreNeededOneOfThemNear)
 {
     SharedFailures failures;
-    noteReport(failures, reportOf(1, "a", start));
-    noteReport(failures, reportOf(1, "a", start + milliseconds(100)));
-    noteReport(failures, reportOf(2, "a", start + milliseconds(100)));
+    recordReport(failures, reportOf(1, "a", start));
+    recordReport(failures, reportOf(1, "a", start + milliseconds(100)));
+    recordReport(failures, reportOf(2, "a", start + milliseconds(100)));
     cr_assert_not(isReportedFailing(failures, "e", "own", start + milliseconds(100)), "two VMs");
-    noteReport(failures, reportOf(3, "a", start + milliseconds(100)));
+    recordReport(failures, reportOf(3, "a", start + milliseconds(100)));
     cr_assert_not(isReportedFailing(failures, "e", "own", start + milliseconds(100)),
                   "all on the same side of a partition");
     cr_assert(isReportedFailing(failures, "a", "own", start + milliseconds(100)));
     cr_assert(isReportedFailing(failures, "e", "a", start + milliseconds(100)));
     cr_assert_not(isReportedFailing(failures, "a", "own", start + milliseconds(100) + reportWindow), "too old");
-    noteWorks(failures);
+    clearReports(failures);
     cr_assert_not(isReportedFailing(failures, "a", "own", start + milliseconds(100)));
 }
 
--- a/lacewing/testing/joinedvms.cpp
+++ b/lacewing/testing/simulatedvms.cpp
@@ -1,6 +1,6 @@
 // A tick delivers the VM lists that are due and the answers to reads, then the inbox of each VM and a Tick event.
 
-#include "joinedvms.h"
+#include "simulatedvms.h"
 
 #include <algorithm>
 
@@ -16,9 +16,9 @@
 
 } // namespace
 
-JoinedVm &JoinedVms::start(const VmId &vm, const ZoneName &zone, std::int64_t incarnation)
+SimulatedVm &SimulatedVms::start(const VmId &vm, const ZoneName &zone, std::int64_t incarnation)
 {
-    JoinedVm &joined = this->vms[vm];
+    SimulatedVm &joined = this->vms[vm];
     joined = {};
     joined.blackboard.settings.vm = vm;
     joined.blackboard.settings.zone = zone;
@@ -28,23 +28,23 @@
     return joined;
 }
 
-void JoinedVms::kill(const VmId &vm)
+void SimulatedVms::kill(const VmId &vm)
 {
     this->vms.erase(vm);
 }
 
-void JoinedVms::unlist(const VmId &vm)
+void SimulatedVms::unlist(const VmId &vm)
 {
     std::erase_if(this->listed, [&vm](const VmListEntry &entry) { return entry.vm == vm; });
 }
 
-void JoinedVms::cut(const VmId &a, const VmId &b)
+void SimulatedVms::cut(const VmId &a, const VmId &b)
 {
     this->cuts.insert({a, b});
     this->cuts.insert({b, a});
 }
 
-void JoinedVms::advance(Duration span)
+void SimulatedVms::advance(Duration span)
 {
     const TimePoint until = this->now + span;
     while (this->now < until) {
@@ -53,7 +53,7 @@
     }
 }
 
-LogOffset JoinedVms::append(wire::LogRecord record)
+LogOffset SimulatedVms::append(wire::LogRecord record)
 {
     wire::StoredRecord stored;
     stored.offset = static_cast<LogOffset>(this->log.records.size());
@@ -62,18 +62,18 @@
     return stored.offset;
 }
 
-void JoinedVms::submit(const VmId &vm, std::int64_t token, std::int64_t basedOn,
-                       std::vector<wire::ConfigChange> changes)
+void SimulatedVms::submit(const VmId &vm, std::int64_t token, std::int64_t basedOn,
+                          std::vector<wire::ConfigChange> changes)
 {
     this->send(vm, ChangeSubmitted {token, configRecord(basedOn, std::move(changes)).config});
 }
 
-void JoinedVms::send(const VmId &vm, const Event &event)
+void SimulatedVms::send(const VmId &vm, const Event &event)
 {
     this->vms.at(vm).inbox.push_back(event);
 }
 
-void JoinedVms::tick()
+void SimulatedVms::tick()
 {
     if (!this->listDown && this->now >= this->nextList) {
         this->nextList = this->now + listInterval;
@@ -103,7 +103,7 @@
     }
 }
 
-void JoinedVms::readForAll()
+void SimulatedVms::readForAll()
 {
     const auto end = static_cast<LogOffset>(this->log.records.size());
     for (auto &[name, vm] : this->vms) {
@@ -129,9 +129,9 @@
     }
 }
 
-void JoinedVms::carryOut(const VmId &name, const Action &action)
+void SimulatedVms::carryOut(const VmId &name, const Action &action)
 {
-    JoinedVm &vm = this->vms.at(name);
+    SimulatedVm &vm = this->vms.at(name);
     if (const auto *append = std::get_if<AppendRecord>(&action)) {
         this->answerAppend(vm, append->record);
     } else if (const auto *read = std::get_if<ReadLog>(&action)) {
@@ -151,7 +151,7 @@
     }
 }
 
-void JoinedVms::answerAppend(JoinedVm &vm, const wire::LogRecord &record)
+void SimulatedVms::answerAppend(SimulatedVm &vm, const wire::LogRecord &record)
 {
     AppendEnded ended {record.nonce, AppendEnded::Result::Refused, noOffset};
     if (!this->log.down && !vm.cutFromPlatform) {
--- a/lacewing/testing/joinedvms.h
+++ b/lacewing/testing/simulatedvms.h
@@ -24,7 +24,7 @@
     std::int64_t reads = 0;
 };
 
-struct JoinedVm {
+struct SimulatedVm {
     Blackboard blackboard;
     std::deque<Event> inbox;
     bool paused = false; ///< events wait
@@ -38,10 +38,10 @@
     TimePoint readSince;
 };
 
-struct JoinedVms {
+struct SimulatedVms {
     TimePoint now {std::chrono::seconds(1000)};
     FakeLog log;
-    std::map<VmId, JoinedVm> vms;
+    std::map<VmId, SimulatedVm> vms;
     std::vector<VmListEntry> listed; ///< VM list of the platform; visible after listLag
     Duration listLag {0};
     bool listDown = false;
@@ -51,7 +51,7 @@
     TimePoint nextList;
 
     /// Starts a VM and puts it on the VM list.
-    JoinedVm &start(const VmId &vm, const ZoneName &zone, std::int64_t incarnation = 1);
+    SimulatedVm &start(const VmId &vm, const ZoneName &zone, std::int64_t incarnation = 1);
     /// Ends a process at once; the VM list shows it until unlist() is called.
     void kill(const VmId &vm);
     void unlist(const VmId &vm);
@@ -68,7 +68,7 @@
     void tick();
     void readForAll();
     void carryOut(const VmId &vm, const Action &action);
-    void answerAppend(JoinedVm &vm, const wire::LogRecord &record);
+    void answerAppend(SimulatedVm &vm, const wire::LogRecord &record);
 };
 
 wire::ConfigChange addMember(const std::string &name);
--- a/lacewing/testing/vmnewstest.cpp
+++ b/lacewing/testing/vmupdatestest.cpp
@@ -7,7 +7,7 @@
 
 #include "codec.h"
 #include "entrynodefixture.h"
-#include "listeningvm.h"
+#include "fakepeervm.h"
 
 // After Boost, whose headers use names that Criterion defines as macros.
 #include <criterion/criterion.h>
@@ -21,7 +21,7 @@
 struct Vms {
     Vms() : neighbour(context, "vm2"), distant(context, "vm3", "y"), settings(settingsOf("vm1"))
     {
-        this->platform.cutOff = {"vm1"}; // it never owns the zone
+        this->platform.unreachableVms = {"vm1"}; // it never owns the zone
         this->platform.contacts = {this->neighbour.contact(), this->distant.contact()};
         this->node
             = std::make_unique<EntryNode>(this->context, this->settings, RequestFormat {}, this->platform.port("vm1"));
@@ -46,7 +46,7 @@
     }
 
     /// @return the request for missed updates, once the VM sends it
-    wire::NewsAsked awaitUpdateRequest(ListeningVm &owner)
+    wire::NewsAsked awaitUpdateRequest(FakePeerVm &owner)
     {
         wire::NewsAsked asked;
         cr_assert(this->runUntil([&] {
@@ -68,8 +68,8 @@
 
     asio::io_context context;
     FakePlatform platform;
-    ListeningVm neighbour;
-    ListeningVm distant;
+    FakePeerVm neighbour;
+    FakePeerVm distant;
     EntryNodeSettings settings;
     std::unique_ptr<EntryNode> node;
 };
@@ -87,7 +87,7 @@
         one.version = 1;
         holdings.gained.push_back(one);
     }
-    wire::VmDatagram datagram = noticeOfOwner(1);
+    wire::VmDatagram datagram = makeOwnerNotice(1);
     datagram.placement.previousNews = news - 1;
     datagram.placement.news = news;
     datagram.placement.endpoints = {holdings};
@@ -107,7 +107,7 @@
     cr_assert_eq(asked.zone, "z");
     cr_assert_eq(asked.known, 1);
     cr_assert_eq(vms.held().count("m/a1"), 1U);
-    wire::VmDatagram answer = noticeOfOwner(1);
+    wire::VmDatagram answer = makeOwnerNotice(1);
     answer.placement.previousNews = 1;
     answer.placement.news = 3;
     wire::EndpointHoldings all;
@@ -173,7 +173,7 @@
 Test(vmnews, anEndpointThatThreeVmsReportAsFailedIsAvoided)
 {
     Vms vms;
-    ListeningVm third(vms.context, "vm4");
+    FakePeerVm third(vms.context, "vm4");
     wire::EndpointNews failed;
     failed.endpoint = "i-1";
     wire::VmDatagram datagram;
--- a/lacewing/testing/wantedzonetest.cpp
+++ b/lacewing/testing/zonechoicetest.cpp
@@ -5,7 +5,7 @@
 #include <array>
 
 #include "waitlimits.h"
-#include "wantedzone.h"
+#include "zonechoice.h"
 
 using namespace lacewing;
 
@@ -13,14 +13,14 @@
 
 constexpr TimePoint start {std::chrono::seconds(100)};
 
-ZoneOffer makeOffer(const ZoneName &zone, std::uint64_t rank, std::int32_t idlePlaces, TimePoint unloaded = {})
+ZoneCandidate makeOffer(const ZoneName &zone, std::uint64_t rank, std::int32_t idlePlaces, TimePoint unloaded = {})
 {
     return {zone, unloaded, rank, idlePlaces};
 }
 
-ZoneName asked(std::span<const ZoneOffer> offers)
+ZoneName asked(std::span<const ZoneCandidate> offers)
 {
-    const auto zone = zoneToAsk(offers, std::nullopt, start);
+    const auto zone = chooseZone(offers, std::nullopt, start);
     return zone ? zone->zone : ZoneName();
 }
 
@@ -41,14 +41,14 @@
 
 Test(wantedzone, aRequestKeepsItsZoneForAsLongAsALoadTakes)
 {
-    const AskedZone before {"a", start};
+    const RequestedZone before {"a", start};
     std::array offers {makeOffer("a", 5, 0), makeOffer("b", 9, 3)};
-    cr_assert_eq(zoneToAsk(offers, before, start + minZoneHold - Duration {1})->zone, "a");
-    cr_assert_eq(zoneToAsk(offers, before, start + minZoneHold)->zone, "b");
+    cr_assert_eq(chooseZone(offers, before, start + minZoneHold - Duration {1})->zone, "a");
+    cr_assert_eq(chooseZone(offers, before, start + minZoneHold)->zone, "b");
     offers[0].idlePlaces = 1;
-    cr_assert_eq(zoneToAsk(offers, before, start + 10 * minZoneHold)->zone, "a");
+    cr_assert_eq(chooseZone(offers, before, start + 10 * minZoneHold)->zone, "a");
     const std::array lost {makeOffer("b", 9, 3)};
-    cr_assert_eq(zoneToAsk(lost, before, start)->zone, "b", "its owner is gone");
+    cr_assert_eq(chooseZone(lost, before, start)->zone, "b", "its owner is gone");
 }
 
 Test(waitlimits, theWaitLeavesTheCallerTimeForARetry)
@@ -60,6 +60,6 @@
         cr_assert_geq(adapterWaitLimit(milliseconds(left), objective), Duration {0});
     }
     cr_assert_eq(adapterWaitLimit(milliseconds(-5), objective), Duration {0});
-    cr_assert_eq(adapterWaitLimit(milliseconds(100000), Duration {0}), longestAdapterWait);
-    cr_assert_lt(turnAgeLimit(objective), objective);
+    cr_assert_eq(adapterWaitLimit(milliseconds(100000), Duration {0}), defaultAdapterWaitLimit);
+    cr_assert_lt(maxPacedAge(objective), objective);
 }
--- a/lacewing/testing/zoneclaimtest.cpp
+++ b/lacewing/testing/zoneclaimtest.cpp
@@ -213,7 +213,7 @@
     ZoneClaim other;
     recordOwner(other, 7, start);
     applyClaimReply(other, unchecked, true, 8, later);
-    cr_assert_not(mayOrder(other, unchecked, later + unchecked.turnDelay - milliseconds(1)));
+    cr_assert_not(mayOrder(other, unchecked, later + unchecked.ownerChangeDelay - milliseconds(1)));
 }
 
 Test(zoneclaim, anOwnerThatHearsLessThanHalfOfItsZoneAsksTheStore)
@@ -266,7 +266,7 @@
         cr_assert_not(shouldConfirm(claim, settings, wholeZone, now));
         cr_assert(shouldConfirm(claim, settings, wholeZone, now + claimRetryDelay));
     }
-    cr_assert_not(mayOrder(claim, settings, start + settings.turnDelay + settings.lifetime));
+    cr_assert_not(mayOrder(claim, settings, start + settings.ownerChangeDelay + settings.lifetime));
 }
 
 Test(zoneclaim, aHigherFencingNumberEndsOwnershipPermanently)
--- a/lacewing/newsprogress.cpp
+++ b/lacewing/updateprogress.cpp
@@ -1,6 +1,6 @@
 // A full notice is valid by itself and is returned at once. Only incremental notices wait for their predecessor.
 
-#include "newsprogress.h"
+#include "updateprogress.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-std::vector<wire::PlacementNotice> takeInOrder(NewsProgress &progress, const wire::PlacementNotice &notice)
+std::vector<wire::PlacementNotice> receiveInOrder(UpdateProgress &progress, const wire::PlacementNotice &notice)
 {
     progress.announced = std::max(progress.announced, notice.news);
     if (!isIncremental(notice)) {
@@ -40,7 +40,7 @@
     return next;
 }
 
-bool hasGap(const NewsProgress &progress)
+bool hasGap(const UpdateProgress &progress)
 {
     return progress.complete < progress.announced;
 }
--- a/lacewing/newsprogress.h
+++ b/lacewing/updateprogress.h
@@ -1,6 +1,6 @@
 // Tracks which placement updates of a zone's owner a VM has received, and puts them in order.
 //
-//   for (const wire::PlacementNotice &notice : takeInOrder(progress, received)) apply(notice);
+//   for (const wire::PlacementNotice &notice : receiveInOrder(progress, received)) apply(notice);
 //   if (hasGap(progress)) request the updates after progress.complete from the owner
 //
 // An owner numbers its updates. Each notice states after which number it starts and up to which number it goes. Notices
@@ -24,7 +24,7 @@
 /// Interval between two requests for the same updates: the answer takes some milliseconds, or is lost.
 constexpr Duration updateRequestInterval = milliseconds(250);
 
-struct NewsProgress {
+struct UpdateProgress {
     std::int64_t complete = 0; ///< number up to which all updates were received
     std::int64_t announced = 0; ///< highest update number seen
     std::map<std::int64_t, wire::PlacementNotice>
@@ -34,10 +34,10 @@
 /// @param progress changed
 /// @param notice the received notice
 /// @return notices to apply now, in this order
-std::vector<wire::PlacementNotice> takeInOrder(NewsProgress &progress, const wire::PlacementNotice &notice);
+std::vector<wire::PlacementNotice> receiveInOrder(UpdateProgress &progress, const wire::PlacementNotice &notice);
 
 /// @param progress of this VM
 /// @return whether updates are missing
-bool hasGap(const NewsProgress &progress);
+bool hasGap(const UpdateProgress &progress);
 
 } // namespace lacewing
--- a/lacewing/vmgossip.cpp
+++ b/lacewing/vmgossip.cpp
@@ -177,20 +177,20 @@
     if (datagram.configOffset > this->configOffset && this->onConfigOffset) {
         this->onConfigOffset(datagram.configOffset);
     }
-    if (datagram.__isset.prompt && this->onPrompt) {
-        this->onPrompt(datagram.prompt);
+    if (datagram.__isset.prompt && this->onPromptUpdate) {
+        this->onPromptUpdate(datagram.prompt);
     }
     if (datagram.__isset.newsAsked && this->onUpdateRequest) {
         this->onUpdateRequest(datagram.vm, datagram.newsAsked);
     }
-    if (datagram.__isset.endpointNews && this->onEndpointNews) {
-        this->onEndpointNews(datagram.vm, datagram.zone, datagram.endpointNews);
+    if (datagram.__isset.endpointNews && this->onEndpointUpdate) {
+        this->onEndpointUpdate(datagram.vm, datagram.zone, datagram.endpointNews);
     }
     if (datagram.__isset.crashNews && this->onCrashUpdate) {
         this->onCrashUpdate(datagram.crashNews);
     }
-    if (datagram.__isset.limitNews && this->onLimitNews) {
-        this->onLimitNews(datagram.limitNews);
+    if (datagram.__isset.limitNews && this->onLimitUpdate) {
+        this->onLimitUpdate(datagram.limitNews);
     }
 }
 
--- a/lacewing/vmgossip.h
+++ b/lacewing/vmgossip.h
@@ -93,11 +93,11 @@
     std::function<void(const VmId &, const ZoneName &, const wire::DemandReport &)> onDemand;
     std::function<void(const VmId &, const ZoneName &)>
         onLeaving; ///< called for each datagram of a VM that is stopping
-    std::function<void(const wire::PromptSent &)> onPrompt;
+    std::function<void(const wire::PromptSent &)> onPromptUpdate;
     std::function<void(const VmId &, const wire::NewsAsked &)> onUpdateRequest;
-    std::function<void(const VmId &, const ZoneName &, const wire::EndpointNews &)> onEndpointNews;
+    std::function<void(const VmId &, const ZoneName &, const wire::EndpointNews &)> onEndpointUpdate;
     std::function<void(const wire::CrashNews &)> onCrashUpdate;
-    std::function<void(const wire::LimitNews &)> onLimitNews;
+    std::function<void(const wire::LimitNews &)> onLimitUpdate;
     std::function<void(const VmId &, const wire::ListChange &, Duration)>
         onList; ///< only for datagrams from VMs of this zone
     std::function<void(std::int64_t)> onConfigOffset; ///< another VM has read further than this one
--- a/lacewing/waitlimits.cpp
+++ b/lacewing/waitlimits.cpp
@@ -18,11 +18,11 @@
 Duration adapterWaitLimit(Duration timeLeft, Duration latencyObjective)
 {
     const Duration upperBound
-        = latencyObjective.count() > 0 ? shareOf(latencyObjective, adapterWaitShare) : longestAdapterWait;
+        = latencyObjective.count() > 0 ? shareOf(latencyObjective, adapterWaitShare) : defaultAdapterWaitLimit;
     return std::max(Duration {0}, std::min(shareOf(timeLeft, timeLeftShare), upperBound));
 }
 
-Duration turnAgeLimit(Duration latencyObjective)
+Duration maxPacedAge(Duration latencyObjective)
 {
     return shareOf(latencyObjective, pacedAgeShare);
 }
--- a/lacewing/waitlimits.h
+++ b/lacewing/waitlimits.h
@@ -21,7 +21,7 @@
 constexpr double timeLeftShare = 0.5;
 /// Maximum wait if no latency objective is known: ten consecutive loads at a placement owner that was just replaced
 /// take less time.
-constexpr Duration longestAdapterWait = milliseconds(4000);
+constexpr Duration defaultAdapterWaitLimit = milliseconds(4000);
 /// Age of a request, as a fraction of the latency objective, at which its prompt is sent out of turn. Under the load
 /// above, worth fell by 0.014 with 0.8 and by 0.004 with 0.3.
 constexpr double pacedAgeShare = 0.5;
@@ -33,6 +33,6 @@
 
 /// @param latencyObjective objective of the time to the first event
 /// @return age of a request at which its prompt is sent out of turn
-Duration turnAgeLimit(Duration latencyObjective);
+Duration maxPacedAge(Duration latencyObjective);
 
 } // namespace lacewing
--- a/lacewing/wantedzone.cpp
+++ b/lacewing/zonechoice.cpp
@@ -1,6 +1,6 @@
 // VMs with the same information select the same zone. Zones with an idle place come first.
 
-#include "wantedzone.h"
+#include "zonechoice.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool isBetter(const ZoneOffer &one, const ZoneOffer &other)
+bool isBetter(const ZoneCandidate &one, const ZoneCandidate &other)
 {
     const bool oneIdle = one.idlePlaces != 0;
     const bool otherIdle = other.idlePlaces != 0;
@@ -23,8 +23,8 @@
 
 } // namespace
 
-std::optional<AskedZone> zoneToAsk(std::span<const ZoneOffer> offers, const std::optional<AskedZone> &asked,
-                                   TimePoint now)
+std::optional<RequestedZone> chooseZone(std::span<const ZoneCandidate> offers,
+                                        const std::optional<RequestedZone> &asked, TimePoint now)
 {
     const auto best = std::min_element(offers.begin(), offers.end(), isBetter);
     if (best == offers.end()) {
@@ -32,13 +32,13 @@
     }
     if (asked) {
         const auto same = std::find_if(offers.begin(), offers.end(),
-                                       [&asked](const ZoneOffer &offer) { return offer.zone == asked->zone; });
+                                       [&asked](const ZoneCandidate &offer) { return offer.zone == asked->zone; });
         const bool idle = same != offers.end() && same->idlePlaces != 0;
         if (same != offers.end() && (idle || now - asked->since < minZoneHold)) {
             return asked;
         }
     }
-    return AskedZone {best->zone, now};
+    return RequestedZone {best->zone, now};
 }
 
 } // namespace lacewing
--- a/lacewing/wantedzone.h
+++ b/lacewing/zonechoice.h
@@ -19,7 +19,7 @@
 constexpr Duration minZoneHold = milliseconds(400);
 
 /// A zone that can be asked for an adapter.
-struct ZoneOffer {
+struct ZoneCandidate {
     ZoneName zone;
     TimePoint unloaded; ///< when an endpoint of the zone unloaded the adapter; zero: none has it in host memory
     std::uint64_t rank = 0; ///< highest home rank of the zone's endpoints for the adapter
@@ -27,7 +27,7 @@
 };
 
 /// The zone that was asked for an adapter.
-struct AskedZone {
+struct RequestedZone {
     ZoneName zone;
     TimePoint since;
 };
@@ -35,7 +35,7 @@
 /// @param offers zones that have a placement owner
 /// @param asked zone that was asked before for the same adapter, if any
 /// @return zone to ask now; nothing if no zone has an owner
-std::optional<AskedZone> zoneToAsk(std::span<const ZoneOffer> offers, const std::optional<AskedZone> &asked,
-                                   TimePoint now);
+std::optional<RequestedZone> chooseZone(std::span<const ZoneCandidate> offers,
+                                        const std::optional<RequestedZone> &asked, TimePoint now);
 
 } // namespace lacewing
--- a/lacewing/zoneclaim.cpp
+++ b/lacewing/zoneclaim.cpp
@@ -76,7 +76,7 @@
     }
     const bool unopposed = claim.ownerLeft || claim.newest == 0;
     const Duration takeover = unopposed ? Duration {0} : takeoverDelay;
-    claim.usableFrom = now + (settings.endpointsCheckFencing ? takeover : settings.turnDelay);
+    claim.usableFrom = now + (settings.endpointsCheckFencing ? takeover : settings.ownerChangeDelay);
     claim.held = true;
     claim.fencing = newest;
     claim.newest = newest;
--- a/lacewing/zoneclaim.h
+++ b/lacewing/zoneclaim.h
@@ -12,7 +12,7 @@
 // stalled, asks the store whether its claim is still the newest before it continues.
 // If endpoints reject lower fencing numbers, an owner that can't reach the store continues: the endpoints would reject
 // its orders if there were another owner. If they don't, it stops after ZoneClaimSettings::lifetime, and a new owner
-// waits for ZoneClaimSettings::turnDelay before its first order.
+// waits for ZoneClaimSettings::ownerChangeDelay before its first order.
 //
 // Gain over claims that a consumer group of the store assigns to its members: with a third of 71 VMs cut off and half
 // of them restarted in turn, 44 changes of owner in 40 s went down to the changes that the faults made necessary.
@@ -62,7 +62,7 @@
 
 struct ZoneClaimSettings {
     Duration lifetime = milliseconds(3000); ///< of an unconfirmed claim, if endpoints don't check fencing numbers
-    Duration turnDelay
+    Duration ownerChangeDelay
         = milliseconds(3000); ///< from a claim to its first order, if endpoints don't check fencing numbers
     bool endpointsCheckFencing = true;
 };
