--- a/lacewing/entrynode.cpp
+++ b/lacewing/entrynode.cpp
@@ -1,7 +1,7 @@
 // Timers: the claim of the zone is checked five times a second. Demand is reported four times a second while there is
 // any, and at once when a request starts to wait for weights. Each VM sends a heartbeat once a second.
 //
-// entrynodelist.cpp handles the platform's list of endpoints, entrynodenews.cpp updates about endpoints, and
+// entrynodelist.cpp handles the platform's list of endpoints, entrynodeupdates.cpp updates about endpoints, and
 // entrynodeplacement.cpp the ownership of the zone and the demand for adapters.
 
 #include "entrynode.h"
--- a/lacewing/placementupdates.h
+++ b/lacewing/placementupdates.h
@@ -9,7 +9,7 @@
 // Load pattern: sixty loads and unloads a second on hundreds of endpoints, sent to hundreds of VMs over a link of
 // 10 Mbit/s by an owner that has 0.12 of a core. The full state of an endpoint takes some hundred bytes, a change 80,
 // and each datagram costs processor time. So changes are collected for some milliseconds and sent as differences.
-// Updates are numbered: a VM that has missed some detects the gap (newsprogress) and asks for them, so the full state
+// Updates are numbered: a VM that has missed some detects the gap (updateprogress) and asks for them, so the full state
 // need not be sent repeatedly. The load of an endpoint takes one byte, at an index that the endpoint's first update
 // names.
 //
--- a/lacewing/testing/entryexpirytest.cpp
+++ b/lacewing/testing/entryexpirytest.cpp
@@ -13,23 +13,23 @@
 
 } // namespace
 
-Test(endpointlapse, removedWithoutOutageIsGone)
+Test(entryexpiry, removedWithoutOutageIsGone)
 {
     cr_assert_eq(expiredEntryHold(TimePoint {}, failed), Duration {0});
 }
 
-Test(endpointlapse, removedInFirstReadsAfterOutageIsKeptUpToTheLimit)
+Test(entryexpiry, removedInFirstReadsAfterOutageIsKeptUpToTheLimit)
 {
     cr_assert_eq(expiredEntryHold(failed, failed + milliseconds(300)), maxEntryExpiryHold - milliseconds(300));
 }
 
-Test(endpointlapse, removedLaterAfterOutageIsGone)
+Test(entryexpiry, removedLaterAfterOutageIsGone)
 {
     // Three seconds after the store answers again: keeping the endpoint sends requests to a server that has left.
     cr_assert_eq(expiredEntryHold(failed, failed + milliseconds(3070)), Duration {0});
 }
 
-Test(endpointlapse, failedCallWithRecentListIsNoOutage)
+Test(entryexpiry, failedCallWithRecentListIsNoOutage)
 {
     cr_assert_not(isOutage(true, milliseconds(1600)));
     cr_assert_not(isOutage(false, milliseconds(2300))); // a single call that timed out
--- a/lacewing/testing/listfreshnesstest.cpp
+++ b/lacewing/testing/listfreshnesstest.cpp
@@ -240,7 +240,7 @@
 
 } // namespace
 
-Test(listknowledge, contiguousChangeExtendsTheKnownOffset)
+Test(listfreshness, contiguousChangeExtendsTheKnownOffset)
 {
     ListFreshness knowledge;
     recordOwnRead(knowledge, 10, at(0));
@@ -251,7 +251,7 @@
     cr_assert_not(isCovered(knowledge, at(900) + readValidity));
 }
 
-Test(listknowledge, missedChangeIsNotCoveredByLaterOnes)
+Test(listfreshness, missedChangeIsNotCoveredByLaterOnes)
 {
     ListFreshness knowledge;
     recordOwnRead(knowledge, 10, at(0));
@@ -265,7 +265,7 @@
     cr_assert_not(isCovered(knowledge, at(900) + readValidity));
 }
 
-Test(listknowledge, announcementWithoutPreviousOffsetDoesNotCover)
+Test(listfreshness, announcementWithoutPreviousOffsetDoesNotCover)
 {
     ListFreshness knowledge;
     recordOwnRead(knowledge, 10, at(0));
@@ -275,7 +275,7 @@
     cr_assert_not(isCovered(knowledge, at(1000)));
 }
 
-Test(listknowledge, newOwnerCoversOnlyVmsThatKnowAsMuch)
+Test(listfreshness, newOwnerCoversOnlyVmsThatKnowAsMuch)
 {
     ListFreshness successor;
     ListFreshness other;
@@ -290,7 +290,7 @@
     cr_assert(isCovered(other, at(410)));
 }
 
-Test(listknowledge, copyHasEveryChangeUpToItsOffset)
+Test(listfreshness, copyHasEveryChangeUpToItsOffset)
 {
     constexpr std::uint64_t seeds = 60;
     constexpr int steps = 4000; // 40 s
@@ -303,7 +303,7 @@
     }
 }
 
-Test(listknowledge, copyIsNeverOlderThanReadValidityAndOneRead)
+Test(listfreshness, copyIsNeverOlderThanReadValidityAndOneRead)
 {
     constexpr std::uint64_t seeds = 20;
     constexpr int steps = 4000;
--- a/lacewing/testing/placementupdatestest.cpp
+++ b/lacewing/testing/placementupdatestest.cpp
@@ -118,7 +118,7 @@
 
 } // namespace
 
-Test(placementnews, differencesKeepAnotherVmUpToDate)
+Test(placementupdates, differencesKeepAnotherVmUpToDate)
 {
     Sender sender;
     Receiver receiver {sender.fleet, {}};
@@ -135,7 +135,7 @@
     }
 }
 
-Test(placementnews, lostAndReorderedUpdatesAreDetectedAndRepairedByOneAnswer)
+Test(placementupdates, lostAndReorderedUpdatesAreDetectedAndRepairedByOneAnswer)
 {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         Sender sender;
@@ -178,7 +178,7 @@
     }
 }
 
-Test(placementnews, aVmThatStartsLaterGetsTheFullStateFromOneAnswer)
+Test(placementupdates, aVmThatStartsLaterGetsTheFullStateFromOneAnswer)
 {
     Sender sender;
     std::mt19937 random(7);
@@ -198,7 +198,7 @@
     cr_assert(sameHoldings(sender.fleet, sender.endpoints));
 }
 
-Test(placementnews, noNoticeIsLargerThanALinkCarriesUnfragmented)
+Test(placementupdates, noNoticeIsLargerThanALinkCarriesUnfragmented)
 {
     Sender sender;
     std::mt19937 random(8);
@@ -216,7 +216,7 @@
     std::for_each(all.begin(), all.end(), check);
 }
 
-Test(placementnews, theRegularNoticeGrowsByAByteWithEachEndpoint)
+Test(placementupdates, theRegularNoticeGrowsByAByteWithEachEndpoint)
 {
     const auto regularSize = [](int endpoints) {
         Sender sender;
@@ -234,7 +234,7 @@
     cr_assert_leq(regularSize(many) - regularSize(few), many - few + 2);
 }
 
-Test(placementnews, loadsAreSentAtTheIndexOfTheirEndpoint)
+Test(placementupdates, loadsAreSentAtTheIndexOfTheirEndpoint)
 {
     Sender sender;
     std::mt19937 random(9);
@@ -262,7 +262,7 @@
     }
 }
 
-Test(placementnews, manyChangesGoIntoOneNotice)
+Test(placementupdates, manyChangesGoIntoOneNotice)
 {
     Sender sender;
     int sent = 0;
--- a/lacewing/testing/zonechoicetest.cpp
+++ b/lacewing/testing/zonechoicetest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Test(wantedzone, prefersIdlePlacesThenHostMemoryThenHome)
+Test(zonechoice, prefersIdlePlacesThenHostMemoryThenHome)
 {
     const std::array all {makeOffer("a", 9, 4), makeOffer("b", 5, 4, start), makeOffer("c", 7, 4)};
     cr_assert_eq(asked(all), "b");
@@ -39,7 +39,7 @@
     cr_assert_eq(asked({}), "");
 }
 
-Test(wantedzone, aRequestKeepsItsZoneForAsLongAsALoadTakes)
+Test(zonechoice, aRequestKeepsItsZoneForAsLongAsALoadTakes)
 {
     const RequestedZone before {"a", start};
     std::array offers {makeOffer("a", 5, 0), makeOffer("b", 9, 3)};
