--- a/lacewing/endpointlink.h
+++ b/lacewing/endpointlink.h
@@ -1,9 +1,10 @@
 // Persistent HTTP connections to endpoints and a pool of idle connections.
 //
-//   auto link = pool.take(id, address, freshEnough);
+//   auto link = pool.take(id, address, now, nonRepeatable);
 //   link->send(bytes, isHead, handlers);   // connects first if necessary
 //   link->readMore();                      // after each onProgress, to receive the next bytes
-//   pool.returnLink(link);                   // after a complete answer
+//   pool.returnLink(link, now);            // after a complete answer
+//
 // Idle connections are read, so that a connection is dropped as soon as the endpoint closes it.
 
 #pragma once
--- a/lacewing/entrynodelist.cpp
+++ b/lacewing/entrynodelist.cpp
@@ -146,7 +146,7 @@
     const Fleet &fleet = this->dataPath.fleet();
     const bool same
         = isIncarnation(fleet, entry.id, entry.born) && fleet.endpoints.at(entry.id).entry.leaving == entry.leaving;
-    // If the removal of the endpoint is pending here, the other VMs were already told of the removal, so they need the
+    // If the removal of the endpoint is pending here, the other VMs already received the removal, so they need the
     // entry again.
     if ((same && !this->pendingRemovals.contains(entry.id)) || isOutdated(fleet, entry)) {
         return;
